--- a/lab/src/main/java/passhatch/lab/Change.java
+++ b/lab/src/main/java/passhatch/lab/Change.java
@@ -39,13 +39,13 @@
     DISABLED {
         @Override
         Set<String> begin(ObservedInstance instance, Server server) {
-            instance.module().takeOut(instance.nowUs(), server.id());
+            instance.module().disable(instance.nowUs(), server.id());
             return instance.settledSubset();
         }
 
         @Override
         void end(ObservedInstance instance, Server server) {
-            instance.module().putBack(instance.nowUs(), server.id());
+            instance.module().enable(instance.nowUs(), server.id());
             // Whoever puts a server back looks for its first call: every copy tries it once.
             instance.settledSubset();
         }
--- a/lab/src/main/java/passhatch/lab/ModuleBench.java
+++ b/lab/src/main/java/passhatch/lab/ModuleBench.java
@@ -63,7 +63,7 @@
 
     private Balancer withList() {
         Balancer fresh = new Logic(Sites.settings(copies, copies / 2), 42, actions);
-        fresh.serversChanged(nowUs, ListKind.REMEMBERED, list);
+        fresh.serversChanged(nowUs, ListKind.CACHED, list);
         return fresh;
     }
 
@@ -100,14 +100,14 @@
     @Benchmark
     public void wholeUnchanged() {
         nowUs += GAP_US;
-        module().serversChanged(nowUs, ListKind.WHOLE, list);
+        module().serversChanged(nowUs, ListKind.FULL, list);
     }
 
     /** A whole list in which one server is missing, or back, in turn. */
     @Benchmark
     public void wholeOneChange() {
         nowUs += GAP_US;
-        module().serversChanged(nowUs, ListKind.WHOLE, (turn++ & 1) == 0 ? fewer : list);
+        module().serversChanged(nowUs, ListKind.FULL, (turn++ & 1) == 0 ? fewer : list);
     }
 
     /** A new instance and its first list. */
--- a/lab/src/main/java/passhatch/lab/ObservedInstance.java
+++ b/lab/src/main/java/passhatch/lab/ObservedInstance.java
@@ -29,7 +29,7 @@
 
     ObservedInstance(int copies, int copy, long seed, List<Server> list) {
         module = new Logic(Sites.settings(copies, copy), seed, this);
-        module.serversChanged(nowUs, ListKind.REMEMBERED, list);
+        module.serversChanged(nowUs, ListKind.CACHED, list);
     }
 
     long nowUs() {
--- a/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
+++ b/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
@@ -11,7 +11,7 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
-import passhatch.Balancer.DedupGroup;
+import passhatch.Balancer.DedupScope;
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.ListKind;
 import passhatch.Balancer.LoadReport;
@@ -54,11 +54,11 @@
     public void fill() {
         nowUs = PATIENCE_US;
         RequestClass patient = new RequestClass("patient", PATIENCE_US, PATIENCE_US, 1, 0, Effect.SAFE,
-                DedupGroup.ALL, 0);
+                DedupScope.ALL, 0);
         RequestClass quick = new RequestClass("quick", 2 * CALL_US, 2 * CALL_US, 1, 0, Effect.SAFE,
-                DedupGroup.ALL, 0);
+                DedupScope.ALL, 0);
         logic = new Logic(new SettingsBuilder().requestClass(patient).requestClass(quick).build(), 1, this);
-        logic.serversChanged(nowUs, ListKind.REMEMBERED, IntStream.range(0, servers)
+        logic.serversChanged(nowUs, ListKind.CACHED, IntStream.range(0, servers)
                 .mapToObj(i -> new Server("s" + i, 0, 0, 0, ServerStatus.UP)).toList());
         while (requests < servers) {
             request();
@@ -68,7 +68,7 @@
             request();
         }
         for (int i = 0; out && i < servers; i++) {
-            logic.takeOut(nowUs, "s" + i);
+            logic.disable(nowUs, "s" + i);
         }
         for (int i = 0; i < queued; i++) {
             request();
--- a/lab/src/main/java/passhatch/lab/RetainedHeap.java
+++ b/lab/src/main/java/passhatch/lab/RetainedHeap.java
@@ -23,7 +23,7 @@
         long before = live();
         for (int i = 0; i < instances; i++) {
             Balancer module = new Logic(Sites.settings(copies, 0), i, new NoActions());
-            module.serversChanged(1_000_000, ListKind.REMEMBERED, Sites.servers(servers, seed + i));
+            module.serversChanged(1_000_000, ListKind.CACHED, Sites.servers(servers, seed + i));
             kept.add(module);
         }
         return (live() - before) / ((double) servers * kept.size());
--- a/lab/src/main/java/passhatch/lab/SimulatedProxy.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedProxy.java
@@ -70,7 +70,7 @@
         this.random = random;
         this.meanGapUs = meanGapUs;
         this.module = new Logic(Sites.settings(copies, copy), random.nextLong(), this);
-        module.serversChanged(loop.nowUs(), ListKind.REMEMBERED, list);
+        module.serversChanged(loop.nowUs(), ListKind.CACHED, list);
         expectRequest();
     }
 
--- a/lab/src/main/java/passhatch/lab/Sites.java
+++ b/lab/src/main/java/passhatch/lab/Sites.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import passhatch.Balancer.DedupGroup;
+import passhatch.Balancer.DedupScope;
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.Limits;
 import passhatch.Balancer.RequestClass;
@@ -32,10 +32,10 @@
     static Settings settings(int copies, int copy) {
         return new SettingsBuilder()
                 .requestClass(new RequestClass(
-                        "read", 1_000_000, DEADLINE_US, 1, 0.5, Effect.SAFE, DedupGroup.ALL, 0))
+                        "read", 1_000_000, DEADLINE_US, 1, 0.5, Effect.SAFE, DedupScope.ALL, 0))
                 .limits(new Limits(3, true, false, 1_000_000, 1, 30_000_000, true))
                 .rules(RULES)
-                .copies(copies, copy)
+                .replicas(copies, copy)
                 .zone(copy % ZONES)
                 .build();
     }
@@ -57,7 +57,7 @@
 
     /** The same server with another status, its process started then. */
     static Server with(Server server, ServerStatus status, long startedAtUs) {
-        return new Server(server.id(), startedAtUs, server.zone(), server.group(), status);
+        return new Server(server.id(), startedAtUs, server.zone(), server.cell(), status);
     }
 
     /** The list in another order. */
--- a/lab/src/main/java/passhatch/lab/control/ProxyFleet.java
+++ b/lab/src/main/java/passhatch/lab/control/ProxyFleet.java
@@ -10,7 +10,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import passhatch.Balancer.DedupGroup;
+import passhatch.Balancer.DedupScope;
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.ListKind;
 import passhatch.Balancer.RequestClass;
@@ -85,12 +85,12 @@
     /** As many replicas as backends, spread over the zones. */
     private Settings settings(int number) {
         return new SettingsBuilder()
-                .requestClass(new RequestClass("any", AIM_US, DEADLINE_US, 1, 0, Effect.SAFE, DedupGroup.ALL,
+                .requestClass(new RequestClass("any", AIM_US, DEADLINE_US, 1, 0, Effect.SAFE, DedupScope.ALL,
                         0))
                 .rules(new Rules(DRAIN_GRACE_US, pushed ? 0 : ASK_WITHIN_US, COLD_FROM, COLD_US, TIP_MULTIPLE,
                         OVERLOAD_US))
                 .watch(!pushed)
-                .copies(backends.size(), number % backends.size())
+                .replicas(backends.size(), number % backends.size())
                 .zone(number % BackendList.ZONES.size())
                 .build();
     }
@@ -106,7 +106,7 @@
         @Override
         public void inForce(ListKind kind, List<Server> servers) {
             Propagation counted = propagation;
-            if (kind != ListKind.REMEMBERED && counted != null) {
+            if (kind != ListKind.CACHED && counted != null) {
                 counted.inForce(number, servers);
             }
         }
--- a/lab/src/main/java/passhatch/proxy/ObservedBalancer.java
+++ b/lab/src/main/java/passhatch/proxy/ObservedBalancer.java
@@ -31,13 +31,13 @@
     }
 
     @Override
-    public void requestWhole(long nowUs, String request, long timeLeftUs) {
-        balancer.requestWhole(nowUs, request, timeLeftUs);
+    public void requestComplete(long nowUs, String request, long timeLeftUs) {
+        balancer.requestComplete(nowUs, request, timeLeftUs);
     }
 
     @Override
-    public void bodySpent(long nowUs, String request) {
-        balancer.bodySpent(nowUs, request);
+    public void bodyDiscarded(long nowUs, String request) {
+        balancer.bodyDiscarded(nowUs, request);
     }
 
     @Override
@@ -72,18 +72,18 @@
     }
 
     @Override
-    public void takeOut(long nowUs, String server) {
-        balancer.takeOut(nowUs, server);
+    public void disable(long nowUs, String server) {
+        balancer.disable(nowUs, server);
     }
 
     @Override
-    public void putBack(long nowUs, String server) {
-        balancer.putBack(nowUs, server);
+    public void enable(long nowUs, String server) {
+        balancer.enable(nowUs, server);
     }
 
     @Override
-    public boolean isOut(String server) {
-        return balancer.isOut(server);
+    public boolean isDisabled(String server) {
+        return balancer.isDisabled(server);
     }
 
     @Override
@@ -92,7 +92,7 @@
     }
 
     @Override
-    public Census census(long nowUs) {
-        return balancer.census(nowUs);
+    public ServerCounts serverCounts(long nowUs) {
+        return balancer.serverCounts(nowUs);
     }
 }
--- a/src/main/java/passhatch/AttemptRules.java
+++ b/src/main/java/passhatch/AttemptRules.java
@@ -1,6 +1,6 @@
 package passhatch;
 
-import passhatch.Balancer.DedupGroup;
+import passhatch.Balancer.DedupScope;
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.GiveUpReason;
 import passhatch.Balancer.RequestClass;
@@ -18,76 +18,78 @@
     }
 
     /** Whether the class may run on the server. Where none that may is in use, its calls wait for one. */
-    static boolean mayRunAt(RequestClass kind, Backend s) {
-        return (kind.zones() == null || kind.zones().contains(s.zone))
-                && (kind.models() == null || kind.models().contains(s.model));
+    static boolean isAllowedOn(RequestClass requestClass, ServerState server) {
+        return (requestClass.allowedZones() == null || requestClass.allowedZones().contains(server.zone))
+                && (requestClass.allowedMachineTypes() == null
+                        || requestClass.allowedMachineTypes().contains(server.machineType));
     }
 
     /**
      * False for servers that are closed to its class, that this call tried before, or that would not drop
      * its repeat.
      */
-    static boolean mayUse(Call call, Backend s) {
-        if (!mayRunAt(call.kind, s)) {
+    static boolean isEligible(Call call, ServerState server) {
+        if (!isAllowedOn(call.requestClass, server)) {
             return false;
         }
-        for (Attempt a : call.attempts) {
-            if (a.server == s) {
+        for (Attempt attempt : call.attempts) {
+            if (attempt.server == server) {
                 return false;
             }
         }
-        Attempt mayHaveRun = call.mayHaveRun();
-        if (mayHaveRun == null || call.kind.effect() == Effect.SAFE) {
+        Attempt earlier = call.firstThatMayHaveRun();
+        if (earlier == null || call.requestClass.effect() == Effect.SAFE) {
             return true;
         }
-        Backend first = mayHaveRun.server;
-        return switch (call.kind.group()) {
+        ServerState first = earlier.server;
+        return switch (call.requestClass.dedupScope()) {
             case ALL -> true;
-            case ZONE -> s.zone == first.zone;
-            case CELL -> s.zone == first.zone && s.group == first.group;
+            case ZONE -> server.zone == first.zone;
+            case CELL -> server.zone == first.zone && server.cell == first.cell;
         };
     }
 
     /** What forbids to send the call once more, after its attempts so far; null where nothing does. */
-    GiveUpReason whyNotRepeat(long nowUs, Call call) {
-        if (call.spent) {
+    GiveUpReason reasonNotToRetry(long nowUs, Call call) {
+        if (call.bodyDiscarded) {
             return GiveUpReason.BODY_NOT_HELD;
         }
         if (call.attempts.size() >= maxAttempts) {
             return GiveUpReason.ATTEMPTS_USED;
         }
-        if (nowUs >= call.endAtUs) {
+        if (nowUs >= call.usefulUntilUs) {
             return GiveUpReason.NO_TIME;
         }
-        Attempt mayHaveRun = call.mayHaveRun();
-        return mayHaveRun == null || mayFollow(nowUs, call, mayHaveRun) ? null : GiveUpReason.MAY_HAVE_RUN;
+        Attempt earlier = call.firstThatMayHaveRun();
+        return earlier == null || mayRepeatAfter(nowUs, call, earlier) ? null : GiveUpReason.MAY_HAVE_RUN;
     }
 
     /** Whether another attempt may be written after one that may have run. */
-    private static boolean mayFollow(long nowUs, Call call, Attempt mayHaveRun) {
-        return switch (call.kind.effect()) {
+    private static boolean mayRepeatAfter(long nowUs, Call call, Attempt earlier) {
+        return switch (call.requestClass.effect()) {
             case SAFE -> true;
-            case KEYED -> nowUs - mayHaveRun.sentAtUs < call.kind.dedupWindowUs();
+            case KEYED -> nowUs - earlier.sentAtUs < call.requestClass.dedupWindowUs();
             case UNSAFE -> false;
         };
     }
 
     /** Whether the attempt may still be written now: its connection may have come up late. */
     static boolean mayWrite(long nowUs, Call call, Attempt attempt) {
-        if (call.ended || !call.arriving && nowUs >= call.deadlineUs) {
+        if (call.ended || !call.incomplete && nowUs >= call.deadlineUs) {
             return false;
         }
         for (Attempt other : call.attempts) {
-            if (other != attempt && !other.provedNotRun && !mayFollow(nowUs, call, other)) {
+            if (other != attempt && !other.provedNotRun && !mayRepeatAfter(nowUs, call, other)) {
                 return false;
             }
         }
-        return !attempt.server.out;
+        return !attempt.server.disabled;
     }
 
     /** Whether the client may be told that it can safely come again. */
     static boolean mayRefuse(Call call) {
-        return call.mayHaveRun() == null || call.kind.effect() == Effect.SAFE
-                || call.kind.effect() == Effect.KEYED && call.kind.group() == DedupGroup.ALL;
+        return call.firstThatMayHaveRun() == null || call.requestClass.effect() == Effect.SAFE
+                || call.requestClass.effect() == Effect.KEYED
+                        && call.requestClass.dedupScope() == DedupScope.ALL;
     }
 }
--- a/src/main/java/passhatch/Balancer.java
+++ b/src/main/java/passhatch/Balancer.java
@@ -24,7 +24,7 @@
     }
 
     /** The servers that share the memory of a keyed class's repeats. */
-    enum DedupGroup {
+    enum DedupScope {
         /** All servers. */
         ALL,
         /** Those of one zone. */
@@ -75,29 +75,32 @@
     /**
      * What a list of servers is: changes to the list held, the whole list, or the list from before a restart.
      */
-    enum ListKind { CHANGES, WHOLE, REMEMBERED }
+    enum ListKind { CHANGES, FULL, CACHED }
 
     /**
      * A class of requests. None of its figures has a default.
      *
      * @param name for people; it decides nothing
-     * @param aimUs an answer after this long is worth only {@code lateWorth} of the full worth; above 0
-     * @param deadlineUs how long a client waits over all its tries; at least {@code aimUs}
-     * @param worth what one request is worth, per request or per unit of work; not negative
-     * @param lateWorth the part of the worth left after the aim, 0 to 1
+     * @param latencyGoalUs an answer after this long is worth only {@code lateValueFraction} of the full
+     *     worth; above 0
+     * @param deadlineUs how long a client waits over all its tries; at least {@code latencyGoalUs}
+     * @param value what one request is worth, per request or per unit of work; not negative
+     * @param lateValueFraction the part of the worth left after the aim, 0 to 1
      * @param effect whether a request may run more than once
-     * @param group the servers that drop repeats of a keyed request; unused for other effects
+     * @param dedupScope the servers that drop repeats of a keyed request; unused for other effects
      * @param dedupWindowUs how long repeats of a keyed request are dropped, from its first send
-     * @param zones the only zones whose servers may get it, at any attempt; null where all may
-     * @param models the only machine kinds that may get it, at any attempt; null where all may
+     * @param allowedZones the only zones whose servers may get it, at any attempt; null where all may
+     * @param allowedMachineTypes the only machine kinds that may get it, at any attempt; null where all may
      */
-    record RequestClass(String name, long aimUs, long deadlineUs, double worth, double lateWorth,
-            Effect effect, DedupGroup group, long dedupWindowUs, Set<Integer> zones, Set<Integer> models) {
+    record RequestClass(String name, long latencyGoalUs, long deadlineUs, double value,
+            double lateValueFraction, Effect effect, DedupScope dedupScope, long dedupWindowUs,
+            Set<Integer> allowedZones, Set<Integer> allowedMachineTypes) {
 
         /** A class that any server may get. */
-        public RequestClass(String name, long aimUs, long deadlineUs, double worth, double lateWorth,
-                Effect effect, DedupGroup group, long dedupWindowUs) {
-            this(name, aimUs, deadlineUs, worth, lateWorth, effect, group, dedupWindowUs, null, null);
+        public RequestClass(String name, long latencyGoalUs, long deadlineUs, double value,
+                double lateValueFraction, Effect effect, DedupScope dedupScope, long dedupWindowUs) {
+            this(name, latencyGoalUs, deadlineUs, value, lateValueFraction, effect, dedupScope, dedupWindowUs,
+                    null, null);
         }
     }
 
@@ -118,10 +121,10 @@
      * @param maxRetryAfterUs the longest advice that clients heed; 0 where they heed none
      * @param callsPerConnection calls that one connection carries at a time, at least 1
      * @param keepaliveUs how long an idle connection is kept open; 0 where none is, or it is not known
-     * @param secondCopies whether a request may have two attempts out at once
+     * @param hedging whether a request may have two attempts out at once
      */
     record Limits(int maxAttempts, boolean cancel, boolean probes, long maxRetryAfterUs,
-            int callsPerConnection, long keepaliveUs, boolean secondCopies) {
+            int callsPerConnection, long keepaliveUs, boolean hedging) {
 
         /** The limits where it is not known how long connections stay open, and second copies may be sent. */
         public Limits(int maxAttempts, boolean cancel, boolean probes, long maxRetryAfterUs,
@@ -134,20 +137,21 @@
      * The figures of the rules on draining and on cold servers.
      *
      * @param drainGraceUs how long after word that a server drains or is gone it may still be sent something
-     * @param askWithinUs longest time without asking discovery where it must be asked; 0 where it need not be
+     * @param maxDiscoveryIntervalUs longest time without asking discovery where it must be asked; 0 where it
+     *     need not be
      * @param coldFrom share of its capacity a server starts with, above 0, at most 1
      * @param coldUs how long a server stays cold at most
      * @param tipMultiple a cold server sent more than this multiple of what it can do falls over
      * @param overloadForUs for how long it must be sent that much to fall over
      * @param closeWithinUs how long idle connections to a draining server may stay open; 0 where they may
      */
-    record Rules(long drainGraceUs, long askWithinUs, double coldFrom, long coldUs, double tipMultiple,
-            long overloadForUs, long closeWithinUs) {
+    record Rules(long drainGraceUs, long maxDiscoveryIntervalUs, double coldFrom, long coldUs,
+            double tipMultiple, long overloadForUs, long closeWithinUs) {
 
         /** The rules where connections to a draining server may stay open. */
-        public Rules(long drainGraceUs, long askWithinUs, double coldFrom, long coldUs, double tipMultiple,
-                long overloadForUs) {
-            this(drainGraceUs, askWithinUs, coldFrom, coldUs, tipMultiple, overloadForUs, 0);
+        public Rules(long drainGraceUs, long maxDiscoveryIntervalUs, double coldFrom, long coldUs,
+                double tipMultiple, long overloadForUs) {
+            this(drainGraceUs, maxDiscoveryIntervalUs, coldFrom, coldUs, tipMultiple, overloadForUs, 0);
         }
     }
 
@@ -167,18 +171,18 @@
      * @param limits what the deployment allows
      * @param rules the figures of the rules on draining and on cold servers
      * @param prices what probes and crossings cost
-     * @param copies instances that send to the same tier, this one included; at least 1
-     * @param copy this instance's number among them, from 0
+     * @param replicas instances that send to the same tier, this one included; at least 1
+     * @param replicaIndex this instance's number among them, from 0
      * @param tier the tier this instance sends to, from 0
      * @param tiers tiers in all
      * @param zone the zone this instance is in
      * @param watch true where discovery must be asked for changes
-     * @param overQuotaWorth part of the worth left for requests beyond a tenant's quota, 0 to 1
+     * @param overQuotaValueFraction part of the worth left for requests beyond a tenant's quota, 0 to 1
      * @param tickUs shortest time between two events of this instance
      */
     record Settings(List<RequestClass> classes, List<Tenant> tenants, Limits limits, Rules rules,
-            Prices prices, int copies, int copy, int tier, int tiers, int zone, boolean watch,
-            double overQuotaWorth, long tickUs) { }
+            Prices prices, int replicas, int replicaIndex, int tier, int tiers, int zone, boolean watch,
+            double overQuotaValueFraction, long tickUs) { }
 
     /**
      * One line of a list of servers.
@@ -187,14 +191,14 @@
      * @param startedAtUs when its process last started; 0 for long ago
      * @param zone the zone it is in
      * @param status whether it may be sent new requests
-     * @param group the cell it shares its memory of keys with
-     * @param model its machine kind, which classes may be bound to
+     * @param cell the cell it shares its memory of keys with
+     * @param machineType its machine kind, which classes may be bound to
      */
-    record Server(String id, long startedAtUs, int zone, int group, ServerStatus status, int model) {
+    record Server(String id, long startedAtUs, int zone, int cell, ServerStatus status, int machineType) {
 
         /** A server of the only machine kind there is. */
-        public Server(String id, long startedAtUs, int zone, int group, ServerStatus status) {
-            this(id, startedAtUs, zone, group, status, 0);
+        public Server(String id, long startedAtUs, int zone, int cell, ServerStatus status) {
+            this(id, startedAtUs, zone, cell, status, 0);
         }
     }
 
@@ -205,18 +209,18 @@
      * @param requestClass its class, by position in the settings
      * @param tenant its tenant; the number of tenants where it names none
      * @param timeLeftUs until the client gives up this try
-     * @param workUs expected work on a standard core; 0 where unknown
+     * @param expectedWorkUs expected work on a standard core; 0 where unknown
      * @param clientRetry true where the client says that it tries again
-     * @param arriving true where it is still coming in: {@link Balancer#requestWhole} follows, from which on
-     *     its time counts
+     * @param incomplete true where it is still coming in: {@link Balancer#requestComplete} follows, from
+     *     which on its time counts
      */
-    record Request(String id, int requestClass, int tenant, long timeLeftUs, long workUs,
-            boolean clientRetry, boolean arriving) {
+    record Request(String id, int requestClass, int tenant, long timeLeftUs, long expectedWorkUs,
+            boolean clientRetry, boolean incomplete) {
 
         /** A request that is whole. */
-        public Request(String id, int requestClass, int tenant, long timeLeftUs, long workUs,
+        public Request(String id, int requestClass, int tenant, long timeLeftUs, long expectedWorkUs,
                 boolean clientRetry) {
-            this(id, requestClass, tenant, timeLeftUs, workUs, clientRetry, false);
+            this(id, requestClass, tenant, timeLeftUs, expectedWorkUs, clientRetry, false);
         }
     }
 
@@ -267,7 +271,7 @@
         void fail(String request);
 
         /** Tells why the request is refused or failed next; nothing needs to be done. */
-        default void givesUp(String request, GiveUpReason reason) { }
+        default void reportGiveUp(String request, GiveUpReason reason) { }
 
         /** Stops waiting for an attempt. */
         void cancel(String request, int attempt);
@@ -292,7 +296,7 @@
     void serversChanged(long nowUs, ListKind kind, List<Server> servers);
 
     /** A call to discovery failed or its subscription broke; the list held stays in force. */
-    void discoveryFailed(long nowUs, DiscoveryFailure how);
+    void discoveryFailed(long nowUs, DiscoveryFailure failure);
 
     /** A new request; it must get one final answer. */
     void request(long nowUs, Request request);
@@ -302,20 +306,20 @@
      *
      * @param timeLeftUs until the client gives up this try
      */
-    void requestWhole(long nowUs, String request, long timeLeftUs);
+    void requestComplete(long nowUs, String request, long timeLeftUs);
 
     /** Part of the request went out and is not held any more: it cannot be sent again. */
-    void bodySpent(long nowUs, String request);
+    void bodyDiscarded(long nowUs, String request);
 
     /**
      * An attempt ended.
      *
      * @param elapsedUs since it was sent
-     * @param ended true where the request is over by this outcome or was before it
+     * @param requestEnded true where the request is over by this outcome or was before it
      * @param report the server's load, or null
      */
     void outcome(long nowUs, String request, int attempt, String server, Outcome outcome, long elapsedUs,
-            boolean ended, LoadReport report);
+            boolean requestEnded, LoadReport report);
 
     /** A streamed answer began: the attempt belongs to the client now, and no time-out runs on it. */
     void streamStarted(long nowUs, String request, int attempt, String server, long elapsedUs);
@@ -336,15 +340,15 @@
 
     /**
      * Takes a server out by hand: from now on nothing is sent there, whatever lists say of it, until
-     * {@link #putBack}. What is out there runs on. A server not known yet may be named, too.
+     * {@link #enable}. What is out there runs on. A server not known yet may be named, too.
      */
-    void takeOut(long nowUs, String server);
+    void disable(long nowUs, String server);
 
     /** Ends that, however often it was asked for; the server counts as one that has just started. */
-    void putBack(long nowUs, String server);
+    void enable(long nowUs, String server);
 
     /** Whether the server is taken out by hand. */
-    boolean isOut(String server);
+    boolean isDisabled(String server);
 
     /**
      * Whether an attempt may still be written, to be asked just before it is: its connection may have come up
@@ -353,13 +357,13 @@
     boolean maySend(long nowUs, String request, int attempt);
 
     /** How many servers there are. */
-    Census census(long nowUs);
+    ServerCounts serverCounts(long nowUs);
 
     /**
      * Servers, counted.
      *
      * @param listed those in the list, draining ones too
-     * @param avoided of these, the ones that get nothing now: out by hand, resting, or draining
+     * @param unavailable of these, the ones that get nothing now: out by hand, resting, or draining
      */
-    record Census(int listed, int avoided) { }
+    record ServerCounts(int listed, int unavailable) { }
 }
--- a/src/main/java/passhatch/CallQueue.java
+++ b/src/main/java/passhatch/CallQueue.java
@@ -11,7 +11,7 @@
 
 /** Queued calls, a lane for each class and one aside, in the order of arrival; and by when they are due. */
 final class CallQueue {
-    private static final Comparator<Call> BY_ARRIVAL = Comparator.comparingLong(call -> call.number);
+    private static final Comparator<Call> BY_ARRIVAL = Comparator.comparingLong(call -> call.sequenceNumber);
 
     private final List<NavigableSet<Call>> lanes = new ArrayList<>();
     private final NavigableSet<Call> byTime =
@@ -44,7 +44,7 @@
 
     /** Returns false where the call is not queued. */
     boolean remove(Call call) {
-        if (!call.queued()) {
+        if (!call.isQueued()) {
             return false;
         }
         lanes.get(call.lane).remove(call);
@@ -101,7 +101,7 @@
             if (taken) {
                 taker.accept(call);
             }
-            left[lane] -= taken && !call.queued() ? 0 : 1;
+            left[lane] -= taken && !call.isQueued() ? 0 : 1;
             next[lane] = left[lane] > 0
                     ? first(lanes.get(lane).headSet(call, false).descendingSet(), may) : null;
         }
@@ -119,7 +119,7 @@
     private static int newest(Call[] calls) {
         int newest = -1;
         for (int i = 0; i < calls.length; i++) {
-            if (calls[i] != null && (newest < 0 || calls[i].number > calls[newest].number)) {
+            if (calls[i] != null && (newest < 0 || calls[i].sequenceNumber > calls[newest].sequenceNumber)) {
                 newest = i;
             }
         }
--- a/src/main/java/passhatch/HashRing.java
+++ b/src/main/java/passhatch/HashRing.java
@@ -18,7 +18,7 @@
     private static final long SLOTS = (1L << SLOT_BITS) - 1;
     private static final long GOLDEN = 0x9E3779B97F4A7C15L;
 
-    private Backend[] servers = new Backend[16];
+    private ServerState[] servers = new ServerState[16];
     private final Deque<Integer> free = new ArrayDeque<>();
     private int slots;
     /** The points, in their order round the ring. */
@@ -38,7 +38,7 @@
     }
 
     /** The server of a slot; null where there is none. */
-    Backend server(int slot) {
+    ServerState server(int slot) {
         return servers[slot];
     }
 
@@ -47,8 +47,8 @@
         return (int) (points[point % points.length] & SLOTS);
     }
 
-    void change(Collection<Backend> gone, Collection<Backend> come) {
-        for (Backend s : gone) {
+    void change(Collection<ServerState> gone, Collection<ServerState> come) {
+        for (ServerState s : gone) {
             servers[s.slot] = null;
             free.add(s.slot);
         }
@@ -60,7 +60,7 @@
         }
         long[] more = new long[come.size() * POINTS];
         int i = 0;
-        for (Backend s : come) {
+        for (ServerState s : come) {
             s.slot = free.isEmpty() ? slots++ : free.poll();
             servers = s.slot < servers.length ? servers : Arrays.copyOf(servers, servers.length * 2);
             servers[s.slot] = s;
@@ -102,8 +102,8 @@
     }
 
     /** All servers: the first ones given, then the others as they follow a number's place on the ring. */
-    List<Backend> order(List<Backend> first, int number) {
-        Set<Backend> order = new LinkedHashSet<>(first);
+    List<ServerState> order(List<ServerState> first, int number) {
+        Set<ServerState> order = new LinkedHashSet<>(first);
         int from = after(number, -1);
         for (int i = 0; i < points.length; i++) {
             order.add(servers[slot(from + i)]);
@@ -117,7 +117,7 @@
     }
 
     /** The k-th of so many numbers that a server draws. */
-    static int draw(Backend server, int k, int numbers) {
+    static int draw(ServerState server, int k, int numbers) {
         return (int) Math.floorMod(mix(server.hash + mix(k)), (long) numbers);
     }
 
--- a/src/main/java/passhatch/Logic.java
+++ b/src/main/java/passhatch/Logic.java
@@ -102,8 +102,8 @@
     private final Actions actions;
     private final OperatorLog log;
     private final SplittableRandom random;
-    private final Map<String, Backend> byId = new HashMap<>();
-    private final Set<Backend> servers = new LinkedHashSet<>();
+    private final Map<String, ServerState> byId = new HashMap<>();
+    private final Set<ServerState> servers = new LinkedHashSet<>();
     /** The subsets of the near servers and of the far ones. */
     private final List<Subsetting> subsets;
     private final ServerNames names = new ServerNames();
@@ -115,7 +115,7 @@
     /** Calls for which no server may be used now; aside, those that wait for probes. */
     private final CallQueue queue;
     /** Servers asked for their load, the earliest asked first; some have answered since. */
-    private final ArrayDeque<Backend> asked = new ArrayDeque<>();
+    private final ArrayDeque<ServerState> asked = new ArrayDeque<>();
     /** When all queued calls were last looked at, and when they are next. */
     private long lookedAtUs = Long.MIN_VALUE;
     private long lookAtUs = Long.MIN_VALUE;
@@ -145,11 +145,11 @@
     private double probeUs;
     /** Mean of the loads that probed servers reported: what a server not asked just now is taken to hold. */
     private double reportedLoad;
-    private final CallTimes times = new CallTimes();
+    private final LatencyEstimator times = new LatencyEstimator();
     private double workUs;
     /** The time that clients give a first try. */
     private double firstTryUs;
-    private final TenantShares shares;
+    private final TenantQuotas shares;
     private double gapUs;
     private long lastSendUs = Long.MIN_VALUE;
 
@@ -166,13 +166,15 @@
         this.log = new OperatorLog(actions);
         this.rules = new AttemptRules(settings.limits().maxAttempts());
         this.random = new SplittableRandom(seed);
-        this.subsets = List.of(new Subsetting(settings.copy(), settings.copies()),
-                new Subsetting(settings.copy(), settings.copies()));
-        this.discoveryBackoff = new DiscoveryBackoff(settings.rules().askWithinUs() / ASKS_WITHIN, random);
+        this.subsets = List.of(new Subsetting(settings.replicaIndex(), settings.replicas()),
+                new Subsetting(settings.replicaIndex(), settings.replicas()));
+        this.discoveryBackoff =
+                new DiscoveryBackoff(settings.rules().maxDiscoveryIntervalUs() / ASKS_WITHIN, random);
         this.queue = new CallQueue(settings.classes().size());
-        this.shares = new TenantShares(settings.tenants().size());
-        this.shortestAimUs = settings.classes().stream().mapToLong(RequestClass::aimUs).min().orElseThrow();
-        this.leastWorth = settings.classes().stream().mapToDouble(RequestClass::worth).min().orElseThrow();
+        this.shares = new TenantQuotas(settings.tenants().size());
+        this.shortestAimUs = settings.classes().stream().mapToLong(RequestClass::latencyGoalUs).min()
+                .orElseThrow();
+        this.leastWorth = settings.classes().stream().mapToDouble(RequestClass::value).min().orElseThrow();
         double price = settings.prices().probe() * settings.tiers();
         double affordable = price > 0 ? PROBE_SPEND / price : PROBES_AT_ONCE * PROBE_ROUNDS;
         this.probesEarned = settings.limits().probes() && affordable >= PROBES_AT_ONCE
@@ -187,15 +189,15 @@
     public void serversChanged(long nowUs, ListKind kind, List<Server> list) {
         if (kind != ListKind.CHANGES) {
             servers.forEach(s -> s.up = false);
-            names.inList.clear();
+            names.listed.clear();
         }
-        Set<Backend> touched = new LinkedHashSet<>(kind == ListKind.CHANGES ? List.of() : servers);
+        Set<ServerState> touched = new LinkedHashSet<>(kind == ListKind.CHANGES ? List.of() : servers);
         for (Server line : list) {
-            names.add(line);
+            names.update(line);
             learn(nowUs, line, touched);
         }
         subset(nowUs, touched);
-        if (kind != ListKind.REMEMBERED) {
+        if (kind != ListKind.CACHED) {
             starts.heard(nowUs);
         }
         if (!begun) {
@@ -210,8 +212,8 @@
         advance(nowUs, null);
     }
 
-    private void learn(long nowUs, Server line, Set<Backend> touched) {
-        Backend s = byId.get(line.id());
+    private void learn(long nowUs, Server line, Set<ServerState> touched) {
+        ServerState s = byId.get(line.id());
         if (s != null) {
             touched.add(s);
             s.up = false;
@@ -224,25 +226,26 @@
             return;
         }
         if (s == null || line.startedAtUs() != s.startedAtUs || line.zone() != s.zone) {
-            s = new Backend(line.id());
+            s = new ServerState(line.id());
             s.startedAtUs = line.startedAtUs();
-            s.coldSinceUs = starts.startOf(nowUs, line);
-            s.out = names.out.contains(s.id);
+            s.warmUpStartUs = starts.startOf(nowUs, line);
+            s.disabled = names.disabled.contains(s.id);
             s.zone = line.zone();
-            s.turnAtUs = farness(s) > 0 ? nowUs + (long) (random.nextDouble() * paceUs(nowUs) * farness(s))
+            s.lastAssignedVirtualUs = farness(s) > 0
+                    ? nowUs + (long) (random.nextDouble() * paceUs(nowUs) * farness(s))
                     : Long.MIN_VALUE + random.nextLong(1L << 32);
             byId.put(s.id, s);
             touched.add(s);
         }
-        s.group = line.group();
-        s.model = line.model();
+        s.cell = line.cell();
+        s.machineType = line.machineType();
         s.up = true;
     }
 
     /** Brings the subsets in line with what a list said of these servers. */
-    private void subset(long nowUs, Set<Backend> touched) {
+    private void subset(long nowUs, Set<ServerState> touched) {
         touched.removeIf(s -> s.up == s.listed);
-        for (Backend s : touched) {
+        for (ServerState s : touched) {
             s.listed = s.up;
             if (s.listed) {
                 servers.add(s);
@@ -252,9 +255,9 @@
             }
         }
         for (int ring = 0; ring < subsets.size(); ring++) {
-            List<Backend> gone = new ArrayList<>();
-            List<Backend> come = new ArrayList<>();
-            for (Backend s : touched) {
+            List<ServerState> gone = new ArrayList<>();
+            List<ServerState> come = new ArrayList<>();
+            for (ServerState s : touched) {
                 if (farness(s) > 0 == ring > 0) {
                     (s.listed ? come : gone).add(s);
                 }
@@ -263,27 +266,27 @@
                 subsets.get(ring).change(gone, come, mostMembers());
             }
         }
-        for (Backend s : touched) {
+        for (ServerState s : touched) {
             if (s.listed && (begun || share(s, nowUs) < 1)) {
                 enter(nowUs, s);
             }
-            if (s.listed && names.returned.contains(s.id)) {
+            if (s.listed && names.reenabled.contains(s.id)) {
                 comeBack(nowUs, s);
             }
         }
     }
 
     /** One that left with calls out is remembered until they end: it may return, and holds them still. */
-    private void forget(Backend s) {
+    private void forget(ServerState s) {
         if (!s.listed && s.inFlight == 0) {
             byId.remove(s.id, s);
         }
     }
 
     /** Lets a server that was put back by hand have its first call soon. */
-    private void comeBack(long nowUs, Backend s) {
-        s.entryAtUs = Math.min(s.entryAtUs, nowUs + (long) (random.nextDouble() * RETURN_US));
-        s.returning = true;
+    private void comeBack(long nowUs, ServerState s) {
+        s.eligibleFromUs = Math.min(s.eligibleFromUs, nowUs + (long) (random.nextDouble() * RETURN_US));
+        s.reenabled = true;
         returning = true;
     }
 
@@ -302,32 +305,32 @@
      * one chosen at random, and while it is cold only a part of the copies use it: with many of them, a round
      * of each takes so long that a wait measured in rounds would starve it.
      */
-    private void enter(long nowUs, Backend s) {
-        List<Backend> members = subsets.get(farness(s) > 0 ? 1 : 0).members();
+    private void enter(long nowUs, ServerState s) {
+        List<ServerState> members = subsets.get(farness(s) > 0 ? 1 : 0).members();
         int any = random.nextInt(Math.max(1, members.size()));
         for (int i = 0; i < members.size(); i++) {
-            Backend other = members.get((any + i) % members.size());
+            ServerState other = members.get((any + i) % members.size());
             if (other != s) {
-                s.turnAtUs = other.turnAtUs;
+                s.lastAssignedVirtualUs = other.lastAssignedVirtualUs;
                 break;
             }
         }
-        s.entryAtUs = Math.min(nowUs + (long) (random.nextDouble() * turnUs(s, nowUs)),
+        s.eligibleFromUs = Math.min(nowUs + (long) (random.nextDouble() * turnUs(s, nowUs)),
                 fitAtUs(s, random.nextDouble()));
     }
 
     /** When a cold server will safely bear this part of a usual share. */
-    private long fitAtUs(Backend s, double part) {
+    private long fitAtUs(ServerState s, double part) {
         Rules rules = settings.rules();
         double needed = Math.min(1, part / (rules.tipMultiple() * COLD_MARGIN)) - rules.coldFrom();
-        return s.coldSinceUs + (long) (Math.max(0, needed) / (1 - rules.coldFrom()) * rules.coldUs());
+        return s.warmUpStartUs + (long) (Math.max(0, needed) / (1 - rules.coldFrom()) * rules.coldUs());
     }
 
     /** The share of its capacity that a server can be trusted to have by now. */
-    private double share(Backend s, long nowUs) {
+    private double share(ServerState s, long nowUs) {
         Rules rules = settings.rules();
-        long age = nowUs - s.coldSinceUs;
-        if (s.coldSinceUs <= 0 || age >= rules.coldUs()) {
+        long age = nowUs - s.warmUpStartUs;
+        if (s.warmUpStartUs <= 0 || age >= rules.coldUs()) {
             return 1;
         }
         return rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, age) / rules.coldUs();
@@ -338,14 +341,15 @@
      * copy keeps it, the server gets no more than a safe part of what would push it over, taking it that a
      * warm one can do at least what it is sent now.
      */
-    private double turnUs(Backend s, long nowUs) {
+    private double turnUs(ServerState s, long nowUs) {
         double fair = share(s, nowUs) * settings.rules().tipMultiple() * COLD_MARGIN;
         return paceUs(nowUs) * Math.max(1, 1 / fair);
     }
 
     /** Time in which this copy goes round all servers. */
     private double paceUs(long nowUs) {
-        return (gapUs > 0 ? gapUs : settings.classes().get(0).aimUs()) * Math.max(1, subsetSize(nowUs));
+        return (gapUs > 0 ? gapUs : settings.classes().get(0).latencyGoalUs())
+                * Math.max(1, subsetSize(nowUs));
     }
 
     /**
@@ -365,20 +369,21 @@
 
     private int members(int least) {
         int all = servers.size();
-        return (int) Math.min(all, Math.max(least, Math.ceil(SHARERS * all / settings.copies())));
+        return (int) Math.min(all, Math.max(least, Math.ceil(SHARERS * all / settings.replicas())));
     }
 
     /**
      * How much longer than usual the server's calls take. Among idle servers all that is left of the order
      * is the turn: were it kept by assignment alone, slow servers would get as many calls as fast ones.
      */
-    private double slowness(Backend s) {
-        return s.ahead == 0 || times.callUs == 0 ? 1
-                : Math.min(MOST_SLOWNESS, Math.max(1 / MOST_SLOWNESS, s.callUs() / times.callUs));
+    private double slowness(ServerState s) {
+        return s.loadSum == 0 || times.serviceTimeUs == 0 ? 1
+                : Math.min(MOST_SLOWNESS,
+                        Math.max(1 / MOST_SLOWNESS, s.serviceTimeUs() / times.serviceTimeUs));
     }
 
     /** Where crossing zones has a price, servers of other zones come some rounds later. */
-    private double farness(Backend s) {
+    private double farness(ServerState s) {
         return settings.prices().crossZone() > 0 && s.zone != settings.zone() ? FAR_ROUNDS : 0;
     }
 
@@ -395,12 +400,13 @@
     public void request(long nowUs, Request request) {
         RequestClass kind = settings.classes().get(request.requestClass());
         double size = 1;
-        if (request.workUs() > 0) {
-            workUs += (request.workUs() - workUs) * (workUs == 0 ? 1 : CallTimes.MEAN_WEIGHT / 2);
-            size = request.workUs() / workUs;
+        if (request.expectedWorkUs() > 0) {
+            workUs += (request.expectedWorkUs() - workUs)
+                    * (workUs == 0 ? 1 : LatencyEstimator.EWMA_WEIGHT / 2);
+            size = request.expectedWorkUs() / workUs;
         }
         size = size > 1 ? 1 + (size - 1) * HOPE : size;
-        long usefulUs = kind.lateWorth() > 0 ? kind.deadlineUs() : kind.aimUs();
+        long usefulUs = kind.lateValueFraction() > 0 ? kind.deadlineUs() : kind.latencyGoalUs();
         if (!request.clientRetry()) {
             firstTryUs = request.timeLeftUs();
         } else if (Math.abs(request.timeLeftUs() - firstTryUs) > settings.tickUs() * 10) {
@@ -408,7 +414,7 @@
             usefulUs -= kind.deadlineUs() - request.timeLeftUs();
         }
         Call call = new Call(request, kind, requests++, nowUs, usefulUs, size);
-        call.beyondShare = beyondShare(nowUs, request.tenant());
+        call.overQuota = beyondShare(nowUs, request.tenant());
         calls.put(request.id(), call);
         retries.deposit();
         probes = Math.min(probes + probesEarned, probesEarned * PROBE_ROUNDS);
@@ -420,34 +426,35 @@
      * so while no server is idle it makes room for others. Below the first tier work was done for it before.
      */
     private boolean beyondShare(long nowUs, int tenant) {
-        return settings.tier() == 0 && settings.overQuotaWorth() < 1 && tenant < settings.tenants().size()
-                && shares.isBeyond(nowUs, tenant,
-                        settings.tenants().get(tenant).quotaPerSecond() / settings.copies());
+        return settings.tier() == 0 && settings.overQuotaValueFraction() < 1
+                && tenant < settings.tenants().size()
+                && shares.exceedsQuota(nowUs, tenant,
+                        settings.tenants().get(tenant).quotaPerSecond() / settings.replicas());
     }
 
     /** Sends the call to the server whose turn it is, or lets it wait for one. */
     private void dispatch(long nowUs, Call call) {
         queue.remove(call);
         if (hopeless(nowUs, call)) {
-            if (!call.held) {
-                times.hope();
+            if (!call.wasQueued) {
+                times.decayLowServiceTime();
             }
             giveUp(nowUs, call, GiveUpReason.NO_TIME);
             return;
         }
-        Backend found = told(nowUs) ? pick(nowUs, call, Wanted.FOUND_IDLE) : null;
-        Backend s = found != null ? found : pick(nowUs, call, Wanted.ANY);
+        ServerState found = told(nowUs) ? pick(nowUs, call, Wanted.FOUND_IDLE) : null;
+        ServerState s = found != null ? found : pick(nowUs, call, Wanted.ANY);
         if (found == null && asks(nowUs, call)) {
-            queue.addAside(call, call.probeUntilUs);
-            wake(call.probeUntilUs);
-        } else if (call.beyondShare && (s == null || load(nowUs, s) > 0)) {
+            queue.addAside(call, call.probeWaitUntilUs);
+            wake(call.probeWaitUntilUs);
+        } else if (call.overQuota && (s == null || load(nowUs, s) > 0)) {
             giveUp(nowUs, call, GiveUpReason.BEYOND_SHARE);
         } else if (s == null) {
-            log.say(nowUs, call.kind.name(),
+            log.warn(nowUs, call.requestClass.name(),
                     " waits: every server it may use is too crowded, rests or is cold");
-            call.held = true;
+            call.wasQueued = true;
             call.probeRounds = 0;
-            queue.add(call, Math.max(nowUs + 1, call.endAtUs - (long) leastUs(call)));
+            queue.add(call, Math.max(nowUs + 1, call.usefulUntilUs - (long) leastUs(call)));
             lookAtUs = lookAtUs > nowUs ? lookAtUs : nextLook(nowUs);
             wake(Math.min(lookAtUs, call.dueAtUs));
         } else {
@@ -461,81 +468,81 @@
      * found idle is taken. Acts where probes are cheap and quick.
      */
     private boolean asks(long nowUs, Call call) {
-        if (!told(nowUs) || probeUs > call.kind.aimUs() * PROBE_SHARE_OF_AIM) {
+        if (!told(nowUs) || probeUs > call.requestClass.latencyGoalUs() * PROBE_SHARE_OF_AIM) {
             return false;
         }
-        if (nowUs < call.probeUntilUs && anyProbeOut(nowUs)) {
+        if (nowUs < call.probeWaitUntilUs && anyProbeOut(nowUs)) {
             return true;
         }
         int sent = 0;
         int atOnce = reportedLoad < LIGHT_LOAD ? 1 : PROBES_AT_ONCE;
         while (call.probeRounds < PROBE_ROUNDS && sent < atOnce && probes >= 1) {
-            Backend s = pick(nowUs, call, Wanted.UNKNOWN);
+            ServerState s = pick(nowUs, call, Wanted.UNKNOWN);
             if (s == null) {
                 break;
             }
-            s.probedAtUs = nowUs;
+            s.probeSentAtUs = nowUs;
             asked.add(s);
             probes--;
             sent++;
             actions.probe(s.id);
         }
         call.probeRounds++;
-        call.probeUntilUs = nowUs + (long) (OVERDUE * probeUs) + settings.tickUs();
+        call.probeWaitUntilUs = nowUs + (long) (OVERDUE * probeUs) + settings.tickUs();
         return sent > 0;
     }
 
     private boolean anyProbeOut(long nowUs) {
-        while (!asked.isEmpty() && (asked.peek().probedAtUs == Long.MIN_VALUE
-                || nowUs - asked.peek().probedAtUs >= OVERDUE * probeUs + settings.tickUs())) {
+        while (!asked.isEmpty() && (asked.peek().probeSentAtUs == Long.MIN_VALUE
+                || nowUs - asked.peek().probeSentAtUs >= OVERDUE * probeUs + settings.tickUs())) {
             asked.poll();
         }
         return !asked.isEmpty();
     }
 
-    private void send(long nowUs, Call call, Backend s) {
+    private void send(long nowUs, Call call, ServerState s) {
         if (lastSendUs != Long.MIN_VALUE) {
             long gap = nowUs - lastSendUs;
-            gapUs += (gap - gapUs) * (gapUs == 0 ? 1 : CallTimes.MEAN_WEIGHT);
+            gapUs += (gap - gapUs) * (gapUs == 0 ? 1 : LatencyEstimator.EWMA_WEIGHT);
         }
         lastSendUs = nowUs;
-        Attempt attempt = new Attempt(call, s, nowUs, load(nowUs, s) + call.size,
-                probesEarned == 0 || s.reportUntilUs > nowUs);
+        Attempt attempt = new Attempt(call, s, nowUs, load(nowUs, s) + call.relativeWork,
+                probesEarned == 0 || s.reportValidUntilUs > nowUs);
         call.attempts.add(attempt);
-        if (!call.arriving) {
+        if (!call.incomplete) {
             expect(nowUs, attempt);
         }
-        call.out++;
+        call.attemptsInFlight++;
         s.inFlight++;
         double late = Math.min(paceUs(nowUs) * (slowness(s) - 1), MOST_LATE_US) + paceUs(nowUs) * farness(s);
-        s.turnAtUs = nowUs + (long) late;
+        s.lastAssignedVirtualUs = nowUs + (long) late;
         double turnUs = turnUs(s, nowUs);
         if (turnUs > paceUs(nowUs)) {
-            s.entryAtUs = Math.min(nowUs + (long) (turnUs * (0.5 + random.nextDouble())), fitAtUs(s, 1));
+            s.eligibleFromUs = Math.min(nowUs + (long) (turnUs * (0.5 + random.nextDouble())), fitAtUs(s, 1));
         }
         actions.send(call.request.id(), s.id, call.deadlineUs - nowUs);
     }
 
     /** Notes when an attempt is overdue, counted from the last byte of its request. */
     private void expect(long nowUs, Attempt attempt) {
-        if (times.callUs > 0) {
-            attempt.overdueAtUs = nowUs + (long) (CALL_OVERDUE * times.callUs * attempt.ahead);
+        if (times.serviceTimeUs > 0) {
+            attempt.overdueAtUs = nowUs + (long) (CALL_OVERDUE * times.serviceTimeUs * attempt.loadAtSend);
             sent.add(attempt);
             wake(sent.peek().overdueAtUs);
         }
     }
 
     @Override
-    public void requestWhole(long nowUs, String id, long timeLeftUs) {
+    public void requestComplete(long nowUs, String id, long timeLeftUs) {
         Call call = calls.get(id);
-        if (call == null || !call.arriving) {
+        if (call == null || !call.incomplete) {
             return;
         }
-        call.arriving = false;
+        call.incomplete = false;
         call.deadlineUs = nowUs + timeLeftUs;
-        call.endAtUs = nowUs + Math.min(timeLeftUs, call.usefulUs);
+        call.usefulUntilUs = nowUs + Math.min(timeLeftUs, call.maxUsefulLatencyUs);
         for (Attempt a : call.attempts) {
-            if (a.out) {
+            if (a.inFlight) {
                 expect(nowUs, a);
             }
         }
@@ -546,10 +553,10 @@
     }
 
     @Override
-    public void bodySpent(long nowUs, String id) {
+    public void bodyDiscarded(long nowUs, String id) {
         Call call = calls.get(id);
         if (call != null) {
-            call.spent = true;
+            call.bodyDiscarded = true;
         }
     }
 
@@ -558,11 +565,11 @@
      * all near ones are too crowded or slow for it, the far subset follows: traffic that moves to one zone
      * must not be refused while others have room.
      */
-    private Backend pick(long nowUs, Call call, Wanted wanted) {
-        Backend best = null;
+    private ServerState pick(long nowUs, Call call, Wanted wanted) {
+        ServerState best = null;
         int left = 0;
         for (Subsetting ring : subsets) {
-            List<Backend> from = ring.members();
+            List<ServerState> from = ring.members();
             if (ring == subsets.get(0) || best == null && wanted == Wanted.ANY) {
                 left = subsetSize(nowUs) == mostMembers() ? from.size() : subsetSize(nowUs);
             }
@@ -580,8 +587,8 @@
             }
         }
         // Whoever put a server back looks for its first call, so it comes in addition to the subset.
-        for (Backend s : returning ? servers : Set.<Backend>of()) {
-            if (s.returning && open(nowUs, call, s)) {
+        for (ServerState s : returning ? servers : Set.<ServerState>of()) {
+            if (s.reenabled && open(nowUs, call, s)) {
                 best = better(nowUs, call, wanted, s, best);
             }
         }
@@ -589,26 +596,26 @@
     }
 
     /** The better of a server, where it is one that is wanted, and the best so far, if any. */
-    private Backend better(long nowUs, Call call, Wanted wanted, Backend s, Backend best) {
+    private ServerState better(long nowUs, Call call, Wanted wanted, ServerState s, ServerState best) {
         boolean fits = switch (wanted) {
             case ANY -> usable(nowUs, call, s);
             case FOUND_IDLE -> foundIdle(nowUs, s);
-            case UNKNOWN -> s.probedAtUs == Long.MIN_VALUE && s.reportUntilUs <= nowUs;
+            case UNKNOWN -> s.probeSentAtUs == Long.MIN_VALUE && s.reportValidUntilUs <= nowUs;
         };
         return fits && (best == null || better(nowUs, s, best)) ? s : best;
     }
 
-    private boolean foundIdle(long nowUs, Backend s) {
-        return s.reportUntilUs > nowUs && load(nowUs, s) == 0 && !demoted(nowUs, s);
+    private boolean foundIdle(long nowUs, ServerState s) {
+        return s.reportValidUntilUs > nowUs && load(nowUs, s) == 0 && !demoted(nowUs, s);
     }
 
-    private boolean usable(long nowUs, Call call, Backend s) {
+    private boolean usable(long nowUs, Call call, ServerState s) {
         // Classes that may take longer must not fill the servers up for the others, unless they are worth
         // more. Those worth far more may also crowd a server further, so that under overload the room of the
         // least worth ends first; were they most of the traffic, they would choke it.
-        double worth = leastWorth > 0 ? call.kind.worth() / leastWorth : 1;
+        double worth = leastWorth > 0 ? call.requestClass.value() / leastWorth : 1;
         double favour = Math.max(1, Math.min(worth / FAVOURED, MOST_FAVOUR));
-        double timeUs = Math.min((call.endAtUs - nowUs) * favour, shortestAimUs * worth);
+        double timeUs = Math.min((call.usefulUntilUs - nowUs) * favour, shortestAimUs * worth);
         // An idle server is never too slow for long: it would not be seen to recover. Where
         // only own calls tell, others may crowd one that looks idle, so its last calls count for a while.
         boolean idle = assumedLoad(nowUs, s) == 0 && (told(nowUs) || !seenLately(nowUs, s));
@@ -624,51 +631,53 @@
      * nothing is held. A general slowness from below looks the same: then a copy keeps to its first calls at
      * each server.
      */
-    private boolean crowded(long nowUs, Backend s, double expectedUs) {
-        double sharers = Math.max(1, (double) settings.copies() * subsetSize(nowUs) / servers.size());
+    private boolean crowded(long nowUs, ServerState s, double expectedUs) {
+        double sharers = Math.max(1, (double) settings.replicas() * subsetSize(nowUs) / servers.size());
         return load(nowUs, s) * sharers >= JOINT_CALLS
-                && times.areTense() && expectedUs > times.calmUs * CALM;
+                && times.isCongested() && expectedUs > times.baselineLatencyUs * CALM;
     }
 
     /** Whether a call to the server ended so lately that its time still counts. */
-    private static boolean seenLately(long nowUs, Backend s) {
-        return s.callSeenUs != Long.MIN_VALUE && nowUs - s.callSeenUs < FAIL_TIMEOUT_US;
+    private static boolean seenLately(long nowUs, ServerState s) {
+        return s.lastLatencySampleUs != Long.MIN_VALUE && nowUs - s.lastLatencySampleUs < FAIL_TIMEOUT_US;
     }
 
-    private static boolean open(long nowUs, Call call, Backend s) {
-        return s.inUse(nowUs) && AttemptRules.mayUse(call, s);
+    private static boolean open(long nowUs, Call call, ServerState s) {
+        return s.isAvailable(nowUs) && AttemptRules.isEligible(call, s);
     }
 
     /**
      * How long the server will take over this call. One too crowded or slow to answer in time counts as
      * resting for it: late work is wasted and keeps the crowd from clearing.
      */
-    private double expectedUs(long nowUs, Call call, Backend s) {
-        double usual = times.callUs / share(s, nowUs);
-        double each = seenLately(nowUs, s) ? s.callUs() : s.ahead > 0 ? Math.min(s.callUs(), usual) : usual;
-        return each * (assumedLoad(nowUs, s) + call.size * HOPE);
+    private double expectedUs(long nowUs, Call call, ServerState s) {
+        double usual = times.serviceTimeUs / share(s, nowUs);
+        double each = seenLately(nowUs, s) ? s.serviceTimeUs()
+                : s.loadSum > 0 ? Math.min(s.serviceTimeUs(), usual) : usual;
+        return each * (assumedLoad(nowUs, s) + call.relativeWork * HOPE);
     }
 
     /** Calls in flight: this copy's own, or all copies' where the server said so just now. */
-    private static int load(long nowUs, Backend s) {
-        return s.reportUntilUs > nowUs ? Math.max(s.inFlight, s.reported) : s.inFlight;
+    private static int load(long nowUs, ServerState s) {
+        return s.reportValidUntilUs > nowUs ? Math.max(s.inFlight, s.reportedInFlight) : s.inFlight;
     }
 
-    private int assumedLoad(long nowUs, Backend s) {
-        return s.reportUntilUs > nowUs ? load(nowUs, s) : Math.max(s.inFlight, (int) reportedLoad);
+    private int assumedLoad(long nowUs, ServerState s) {
+        return s.reportValidUntilUs > nowUs ? load(nowUs, s) : Math.max(s.inFlight, (int) reportedLoad);
     }
 
     private boolean hopeless(long nowUs, Call call) {
-        return nowUs + leastUs(call) > call.endAtUs || nowUs >= call.endAtUs;
+        return nowUs + leastUs(call) > call.usefulUntilUs || nowUs >= call.usefulUntilUs;
     }
 
     /** The least that this call can be hoped to take. */
     private double leastUs(Call call) {
-        return (call.held ? times.callUs * HELD_MARGIN : times.quickUs) * call.size;
+        return (call.wasQueued ? times.serviceTimeUs * HELD_MARGIN : times.lowServiceTimeUs)
+                * call.relativeWork;
     }
 
     /** Idle servers in use come first, then the fewest calls in flight; of equals the earliest assigned. */
-    private boolean better(long nowUs, Backend a, Backend b) {
+    private boolean better(long nowUs, ServerState a, ServerState b) {
         int loadA = load(nowUs, a);
         int loadB = load(nowUs, b);
         boolean idleA = loadA == 0 && !demoted(nowUs, a);
@@ -678,21 +687,25 @@
         }
         // A server cut off from this copy holds none of its calls; it must not draw all that find others
         // busy.
-        loadA += Math.min(SILENCES, a.unanswered + a.silences) + (doubtful(nowUs, a) ? 1 : 0);
-        loadB += Math.min(SILENCES, b.unanswered + b.silences) + (doubtful(nowUs, b) ? 1 : 0);
+        loadA += Math.min(SILENCES, a.unansweredProbes + a.consecutiveTimeouts)
+                + (doubtful(nowUs, a) ? 1 : 0);
+        loadB += Math.min(SILENCES, b.unansweredProbes + b.consecutiveTimeouts)
+                + (doubtful(nowUs, b) ? 1 : 0);
         if (loadA != loadB) {
             return loadA < loadB;
         }
-        return a.turnAtUs < b.turnAtUs || a.turnAtUs == b.turnAtUs && a.failures < b.failures;
+        return a.lastAssignedVirtualUs < b.lastAssignedVirtualUs
+                || a.lastAssignedVirtualUs == b.lastAssignedVirtualUs
+                        && a.consecutiveFailures < b.consecutiveFailures;
     }
 
     /**
      * A server that owes an answer to a probe is demoted too: it was asked first, so its turn is the next,
      * and the call that asked would go to the one that stalls or is cut off.
      */
-    private boolean demoted(long nowUs, Backend s) {
-        return s.demotedUntilUs > nowUs || doubtful(nowUs, s)
-                || s.probedAtUs != Long.MIN_VALUE && nowUs - s.probedAtUs > OVERDUE * probeUs;
+    private boolean demoted(long nowUs, ServerState s) {
+        return s.degradedUntilUs > nowUs || doubtful(nowUs, s)
+                || s.probeSentAtUs != Long.MIN_VALUE && nowUs - s.probeSentAtUs > OVERDUE * probeUs;
     }
 
     /**
@@ -701,13 +714,13 @@
      * and even with a call more. It saves connections for other copies too. One dead server sets it off for
      * some calls; were it to act always, each copy would keep to a few servers without need.
      */
-    private boolean doubtful(long nowUs, Backend s) {
-        return cut > CUT && s.inFlight == 0 && s.reachedUs <= nowUs - settings.limits().keepaliveUs();
+    private boolean doubtful(long nowUs, ServerState s) {
+        return cut > CUT && s.inFlight == 0 && s.lastConnectedUs <= nowUs - settings.limits().keepaliveUs();
     }
 
     /** Whether the call may be sent once more, after its attempts so far. */
     private boolean mayRepeat(long nowUs, Call call) {
-        return rules.whyNotRepeat(nowUs, call) == null;
+        return rules.reasonNotToRetry(nowUs, call) == null;
     }
 
     @Override
@@ -720,36 +733,37 @@
     public void outcome(long nowUs, String id, int number, String server, Outcome outcome, long elapsedUs,
             boolean ended, LoadReport report) {
         Call call = calls.get(id);
-        if (call == null || number >= call.attempts.size() || !call.attempts.get(number).out) {
+        if (call == null || number >= call.attempts.size() || !call.attempts.get(number).inFlight) {
             return;
         }
         Attempt attempt = call.attempts.get(number);
-        attempt.out = false;
+        attempt.inFlight = false;
         attempt.server.inFlight--;
-        call.out--;
+        call.attemptsInFlight--;
         forget(attempt.server);
-        if (attempt.server.returning && (!outcome.provesNotRun || outcome == Outcome.FULL)) {
-            attempt.server.returning = false;
-            names.returned.remove(attempt.server.id);
-            returning = servers.stream().anyMatch(s -> s.returning);
+        if (attempt.server.reenabled && (!outcome.provesNotRun || outcome == Outcome.FULL)) {
+            attempt.server.reenabled = false;
+            names.reenabled.remove(attempt.server.id);
+            returning = servers.stream().anyMatch(s -> s.reenabled);
         }
-        if (attempt.server.out) {
+        if (attempt.server.disabled) {
             actions.closeIdle(attempt.server.id);
         } else if (attempt.server.draining) {
             closeIdle(attempt.server.id);
         }
         judge(nowUs, attempt.server, outcome);
-        if ((outcome == Outcome.OK || outcome == Outcome.TIMEOUT) && (attempt.known || times.callUs == 0)) {
-            times.add(elapsedUs, attempt.ahead);
-            Backend s = attempt.server;
-            s.tookUs += elapsedUs - s.tookUs * CallTimes.MEAN_WEIGHT;
-            s.ahead += attempt.ahead - s.ahead * CallTimes.MEAN_WEIGHT;
-            s.callSeenUs = nowUs;
+        if ((outcome == Outcome.OK || outcome == Outcome.TIMEOUT)
+                && (attempt.loadKnown || times.serviceTimeUs == 0)) {
+            times.add(elapsedUs, attempt.loadAtSend);
+            ServerState s = attempt.server;
+            s.latencySumUs += elapsedUs - s.latencySumUs * LatencyEstimator.EWMA_WEIGHT;
+            s.loadSum += attempt.loadAtSend - s.loadSum * LatencyEstimator.EWMA_WEIGHT;
+            s.lastLatencySampleUs = nowUs;
         } else if (outcome == Outcome.FULL) {
-            attempt.server.reported = FULL_LOAD;
-            attempt.server.reportUntilUs = nowUs + (long) (times.callUs * BUSY_HOLDS);
+            attempt.server.reportedInFlight = FULL_LOAD;
+            attempt.server.reportValidUntilUs = nowUs + (long) (times.serviceTimeUs * BUSY_HOLDS);
         }
-        if (attempt.toldIdle()) {
+        if (attempt.serverReportedIdle()) {
             judgeReports(nowUs, outcome == Outcome.FULL || outcome == Outcome.TIMEOUT);
         }
         attempt.provedNotRun = outcome.provesNotRun;
@@ -760,7 +774,7 @@
             call.ended = true;
             cancelRest(call);
         }
-        if (!call.ended && call.out == 0) {
+        if (!call.ended && call.attemptsInFlight == 0) {
             again(nowUs, call, outcome);
         }
         forget(call);
@@ -790,15 +804,15 @@
      * always looks idle and draws ever more calls. Errors that all show alike come from a tier below and rest
      * none.
      */
-    private void judgeErrors(long nowUs, Backend s, boolean error) {
-        s.errors += ERROR_WEIGHT * ((error ? 1 : 0) - s.errors);
+    private void judgeErrors(long nowUs, ServerState s, boolean error) {
+        s.errorRate += ERROR_WEIGHT * ((error ? 1 : 0) - s.errorRate);
         errors += ERROR_WEIGHT * ERROR_WEIGHT * ((error ? 1 : 0) - errors);
         if (!error) {
-            s.errorRests = s.errors < ERRORS / 2 ? 0 : s.errorRests;
-        } else if (s.errors > ERRORS && s.errors > 2 * errors && beyondChance(s) && mostStay(nowUs)) {
-            s.restUntilUs = nowUs + (FAIL_TIMEOUT_US << Math.min(s.errorRests++, MOST_DOUBLINGS));
-            s.errors = ERRORS;
-            log.say(nowUs, s.id, " rests: it errs or breaks connections far more often than others");
+            s.errorEjections = s.errorRate < ERRORS / 2 ? 0 : s.errorEjections;
+        } else if (s.errorRate > ERRORS && s.errorRate > 2 * errors && beyondChance(s) && mostStay(nowUs)) {
+            s.ejectedUntilUs = nowUs + (FAIL_TIMEOUT_US << Math.min(s.errorEjections++, MOST_DOUBLINGS));
+            s.errorRate = ERRORS;
+            log.warn(nowUs, s.id, " rests: it errs or breaks connections far more often than others");
         }
     }
 
@@ -807,14 +821,14 @@
      * all break one connection in eight, two breaks in a row come every few seconds: were those enough, one
      * server or another would always rest, and the others would be crowded.
      */
-    private boolean beyondChance(Backend s) {
-        double others = -s.errors;
-        for (Backend other : servers) {
-            others += other.errors;
+    private boolean beyondChance(ServerState s) {
+        double others = -s.errorRate;
+        for (ServerState other : servers) {
+            others += other.errorRate;
         }
         double usual = Math.min(1, Math.max(0, others / Math.max(1, servers.size() - 1)));
         double spread = Math.sqrt(usual * (1 - usual) * ERROR_WEIGHT / (2 - ERROR_WEIGHT));
-        return s.errors > usual + BEYOND_CHANCE * spread;
+        return s.errorRate > usual + BEYOND_CHANCE * spread;
     }
 
     /**
@@ -823,26 +837,29 @@
      * the others do, it rests as one that errs: breaks that all show alike come from the way there, and were
      * they to rest servers, none would be left. So it is with connections that come up late at all of them.
      */
-    private void judge(long nowUs, Backend s, Outcome outcome) {
+    private void judge(long nowUs, ServerState s, Outcome outcome) {
         if (outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.RESET) {
             judgeErrors(nowUs, s, outcome != Outcome.OK);
         }
         boolean failed = outcome == Outcome.CONNECT_FAILED;
         cut += ERROR_WEIGHT * ((failed ? 1 : 0) - cut);
         boolean broken = failed || outcome == Outcome.RESET;
-        s.broken += CallTimes.MEAN_WEIGHT * ((broken ? 1 : 0) - s.broken);
-        s.reachedUs = broken ? Long.MIN_VALUE : nowUs;
+        s.connectionFailureRate += LatencyEstimator.EWMA_WEIGHT
+                * ((broken ? 1 : 0) - s.connectionFailureRate);
+        s.lastConnectedUs = broken ? Long.MIN_VALUE : nowUs;
         if (outcome == Outcome.OK) {
-            s.failures = 0;
-            s.failureRests = 0;
-            s.silences = 0;
-            s.demotedUntilUs = Long.MIN_VALUE;
+            s.consecutiveFailures = 0;
+            s.failureEjections = 0;
+            s.consecutiveTimeouts = 0;
+            s.degradedUntilUs = Long.MIN_VALUE;
         } else if (broken) {
-            s.failures++;
-            s.demotedUntilUs = nowUs + FAIL_TIMEOUT_US;
-            if (failed && s.failures >= MAX_FAILS && Math.pow(usuallyBroken(s), s.failures) < CHANCE_STREAK) {
-                s.restUntilUs = nowUs + (FAIL_TIMEOUT_US << Math.min(s.failureRests++, MOST_DOUBLINGS));
-                log.say(nowUs, s.id, " rests: connections to it fail");
+            s.consecutiveFailures++;
+            s.degradedUntilUs = nowUs + FAIL_TIMEOUT_US;
+            if (failed && s.consecutiveFailures >= MAX_FAILS
+                    && Math.pow(usuallyBroken(s), s.consecutiveFailures) < CHANCE_STREAK) {
+                s.ejectedUntilUs = nowUs
+                        + (FAIL_TIMEOUT_US << Math.min(s.failureEjections++, MOST_DOUBLINGS));
+                log.warn(nowUs, s.id, " rests: connections to it fail");
             }
         }
     }
@@ -851,17 +868,17 @@
      * The share of failed or broken connections at the other servers. Of these only the ones count that the
      * latest call reached: where many are down at once, it must not pass for what is usual.
      */
-    private double usuallyBroken(Backend s) {
-        return servers.stream().filter(other -> other != s && other.reachedUs != Long.MIN_VALUE)
-                .mapToDouble(other -> other.broken).average().orElse(0);
+    private double usuallyBroken(ServerState s) {
+        return servers.stream().filter(other -> other != s && other.lastConnectedUs != Long.MIN_VALUE)
+                .mapToDouble(other -> other.connectionFailureRate).average().orElse(0);
     }
 
     /** After an attempt that brought no answer: another server if that is allowed and can be afforded. */
     private void again(long nowUs, Call call, Outcome outcome) {
         double price = outcome.provesNotRun ? 0 : 1;
         GiveUpReason forbidden = outcome == Outcome.REJECTED ? GiveUpReason.REJECTED
-                : rules.whyNotRepeat(nowUs, call);
-        if (forbidden == null && !retries.affords(price)) {
+                : rules.reasonNotToRetry(nowUs, call);
+        if (forbidden == null && !retries.canAfford(price)) {
             forbidden = GiveUpReason.RETRY_BUDGET;
         }
         if (forbidden == null) {
@@ -875,12 +892,12 @@
     /** The final answer where no server gave one: a refusal where the client may come again. */
     private void giveUp(long nowUs, Call call, GiveUpReason reason) {
         call.ended = true;
-        actions.givesUp(call.request.id(), reason);
-        boolean timeLeft = nowUs + leastUs(call) < call.endAtUs;
+        actions.reportGiveUp(call.request.id(), reason);
+        boolean timeLeft = nowUs + leastUs(call) < call.usefulUntilUs;
         long retryAfterUs = settings.limits().maxRetryAfterUs();
         if (AttemptRules.mayRefuse(call) && (timeLeft || retryAfterUs > 0)) {
             // A client told nothing would use up its tries within milliseconds.
-            long soonUs = Math.min((long) times.callUs, retryAfterUs);
+            long soonUs = Math.min((long) times.serviceTimeUs, retryAfterUs);
             actions.refuse(call.request.id(), timeLeft ? soonUs : retryAfterUs);
         } else {
             actions.fail(call.request.id());
@@ -889,7 +906,7 @@
     }
 
     private void forget(Call call) {
-        if (call.ended && call.out == 0) {
+        if (call.ended && call.attemptsInFlight == 0) {
             calls.remove(call.request.id());
         }
     }
@@ -899,7 +916,7 @@
         Call call = calls.get(id);
         if (call != null && attempt < call.attempts.size() && !call.ended) {
             // The attempt is the client's now, and its outcome will end the call. No other is of any use.
-            call.bound = call.attempts.get(attempt);
+            call.committedAttempt = call.attempts.get(attempt);
             call.ended = true;
             cancelRest(call);
             advance(nowUs, null);
@@ -920,7 +937,7 @@
     private void cancelRest(Call call) {
         queue.remove(call);
         for (int i = 0; i < call.attempts.size() && settings.limits().cancel(); i++) {
-            if (call.attempts.get(i).out && call.attempts.get(i) != call.bound) {
+            if (call.attempts.get(i).inFlight && call.attempts.get(i) != call.committedAttempt) {
                 actions.cancel(call.request.id(), i);
             }
         }
@@ -934,12 +951,12 @@
     }
 
     @Override
-    public void takeOut(long nowUs, String server) {
-        if (names.out.add(server)) {
-            names.returned.remove(server);
-            Backend s = byId.get(server);
+    public void disable(long nowUs, String server) {
+        if (names.disabled.add(server)) {
+            names.reenabled.remove(server);
+            ServerState s = byId.get(server);
             if (s != null) {
-                s.out = true;
+                s.disabled = true;
             }
             // It may be restarted now: what is kept open to it would be found dead by the first calls after.
             actions.closeIdle(server);
@@ -948,16 +965,16 @@
     }
 
     @Override
-    public void putBack(long nowUs, String server) {
-        if (!names.out.remove(server)) {
+    public void enable(long nowUs, String server) {
+        if (!names.disabled.remove(server)) {
             return;
         }
         actions.log(server + " is back by hand");
-        names.returned.add(server);
-        Backend s = byId.get(server);
+        names.reenabled.add(server);
+        ServerState s = byId.get(server);
         if (s != null) {
-            s.out = false;
-            s.renew(nowUs);
+            s.disabled = false;
+            s.resetAfterRestart(nowUs);
             if (s.listed) {
                 enter(nowUs, s);
                 comeBack(nowUs, s);
@@ -967,14 +984,14 @@
     }
 
     @Override
-    public boolean isOut(String server) {
-        return names.out.contains(server);
+    public boolean isDisabled(String server) {
+        return names.disabled.contains(server);
     }
 
     @Override
-    public Census census(long nowUs) {
-        long open = servers.stream().filter(s -> !s.out && s.restUntilUs <= nowUs).count();
-        return new Census(names.inList.size(), names.inList.size() - (int) open);
+    public ServerCounts serverCounts(long nowUs) {
+        long open = servers.stream().filter(s -> !s.disabled && s.ejectedUntilUs <= nowUs).count();
+        return new ServerCounts(names.listed.size(), names.listed.size() - (int) open);
     }
 
     // ---- servers that do not answer
@@ -983,25 +1000,26 @@
      * An attempt is overdue: its server may hang, with connections that stand and probes that are answered.
      * It is demoted, and rests if that happens again with no answer between.
      */
-    private void silent(long nowUs, Backend s) {
-        s.silences++;
-        s.demotedUntilUs = nowUs + FAIL_TIMEOUT_US;
+    private void silent(long nowUs, ServerState s) {
+        s.consecutiveTimeouts++;
+        s.degradedUntilUs = nowUs + FAIL_TIMEOUT_US;
         if (probesEarned == 0) {
             // A copy with few calls comes round less often than that: the next turn would come as usual.
             long lateUs = (long) Math.min(paceUs(nowUs) * CALL_OVERDUE, MOST_LATE_US);
-            s.turnAtUs = Math.max(s.turnAtUs, nowUs + lateUs);
+            s.lastAssignedVirtualUs = Math.max(s.lastAssignedVirtualUs, nowUs + lateUs);
         }
-        if (s.silences >= SILENCES && mostStay(nowUs)) {
-            s.restUntilUs = nowUs + (FAIL_TIMEOUT_US << Math.min(s.silences - SILENCES, MOST_DOUBLINGS));
-            log.say(nowUs, s.id, " rests: calls to it stay unanswered");
+        if (s.consecutiveTimeouts >= SILENCES && mostStay(nowUs)) {
+            s.ejectedUntilUs = nowUs
+                    + (FAIL_TIMEOUT_US << Math.min(s.consecutiveTimeouts - SILENCES, MOST_DOUBLINGS));
+            log.warn(nowUs, s.id, " rests: calls to it stay unanswered");
         }
     }
 
     /** Sends an overdue call elsewhere too: its answer may never come, and a late one earns nothing. */
     private void hedge(long nowUs, Call call) {
-        boolean may = settings.limits().secondCopies() && !call.ended && retries.affords(1)
+        boolean may = settings.limits().hedging() && !call.ended && retries.canAfford(1)
                 && mayRepeat(nowUs, call);
-        Backend s = may ? pick(nowUs, call, Wanted.ANY) : null;
+        ServerState s = may ? pick(nowUs, call, Wanted.ANY) : null;
         if (s != null) {
             retries.withdraw(1);
             send(nowUs, call, s);
@@ -1010,37 +1028,37 @@
 
     /** Whether half of the servers stay in use if one more rests: no false alarm may rest them all. */
     private boolean mostStay(long nowUs) {
-        long inUse = servers.stream().filter(s -> s.inUse(nowUs)).count();
+        long inUse = servers.stream().filter(s -> s.isAvailable(nowUs)).count();
         return (inUse - 1) * 2 >= servers.size();
     }
 
     @Override
     public void probeResult(long nowUs, String server, Outcome outcome, long elapsedUs, LoadReport report) {
-        Backend s = byId.get(server);
+        ServerState s = byId.get(server);
         if (s == null) {
             return;
         }
-        s.probedAtUs = Long.MIN_VALUE;
+        s.probeSentAtUs = Long.MIN_VALUE;
         if (outcome == Outcome.OK && report != null) {
-            s.unanswered = 0;
-            probeUs += CallTimes.MEAN_WEIGHT * (elapsedUs - probeUs);
-            s.reported = (int) Math.round(Math.max(report.inFlight(), report.queue()));
-            reportedLoad += CallTimes.MEAN_WEIGHT * (s.reported - reportedLoad);
-            if (s.reported > 0) {
+            s.unansweredProbes = 0;
+            probeUs += LatencyEstimator.EWMA_WEIGHT * (elapsedUs - probeUs);
+            s.reportedInFlight = (int) Math.round(Math.max(report.inFlight(), report.queue()));
+            reportedLoad += LatencyEstimator.EWMA_WEIGHT * (s.reportedInFlight - reportedLoad);
+            if (s.reportedInFlight > 0) {
                 // Else servers never idle would be asked first each time, and pass for all others.
-                s.turnAtUs = Math.max(s.turnAtUs, nowUs);
+                s.lastAssignedVirtualUs = Math.max(s.lastAssignedVirtualUs, nowUs);
             }
-            s.reportUntilUs = nowUs + (long) (s.reported > 0 ? s.reported * times.callUs * BUSY_HOLDS
-                    : OVERDUE * probeUs);
-            if (s.failures == 0) {
-                s.demotedUntilUs = Long.MIN_VALUE;
+            s.reportValidUntilUs = nowUs + (long) (s.reportedInFlight > 0
+                    ? s.reportedInFlight * times.serviceTimeUs * BUSY_HOLDS : OVERDUE * probeUs);
+            if (s.consecutiveFailures == 0) {
+                s.degradedUntilUs = Long.MIN_VALUE;
             }
         } else if (outcome == Outcome.CONNECT_FAILED) {
             judge(nowUs, s, outcome);
         } else {
-            s.demotedUntilUs = Math.max(s.demotedUntilUs, nowUs + (long) (OVERDUE * times.callUs));
-            s.unanswered++;
-            reportedLoad -= CallTimes.MEAN_WEIGHT * reportedLoad;
+            s.degradedUntilUs = Math.max(s.degradedUntilUs, nowUs + (long) (OVERDUE * times.serviceTimeUs));
+            s.unansweredProbes++;
+            reportedLoad -= LatencyEstimator.EWMA_WEIGHT * reportedLoad;
         }
         advance(nowUs, s);
     }
@@ -1064,29 +1082,30 @@
 
     /** When the next server that rests or enters may be used, and the usual pace of looks at the latest. */
     private long nextLook(long nowUs) {
-        return servers.stream().mapToLong(s -> s.returnUs(nowUs))
-                .reduce(nowUs + (long) (times.callUs * BUSY_HOLDS) + settings.tickUs(), Math::min);
+        return servers.stream().mapToLong(s -> s.nextStateChangeUs(nowUs))
+                .reduce(nowUs + (long) (times.serviceTimeUs * BUSY_HOLDS) + settings.tickUs(), Math::min);
     }
 
     /** Offers a server that changed to the queued calls. */
-    private void offer(long nowUs, Backend s) {
+    private void offer(long nowUs, ServerState s) {
         queue.offer(REFUSALS,
-                lane -> s.inUse(nowUs) && AttemptRules.mayRunAt(settings.classes().get(lane), s),
-                call -> AttemptRules.mayUse(call, s), call -> s.inUse(nowUs) && usable(nowUs, call, s),
+                lane -> s.isAvailable(nowUs) && AttemptRules.isAllowedOn(settings.classes().get(lane), s),
+                call -> AttemptRules.isEligible(call, s),
+                call -> s.isAvailable(nowUs) && usable(nowUs, call, s),
                 call -> dispatch(nowUs, call));
     }
 
     /** Looks at all queued calls: time, a list or what is usual now may have made them usable or hopeless. */
     private void look(long nowUs) {
         queue.all(call -> hopeless(nowUs, call)).forEach(call -> dispatch(nowUs, call));
-        servers.stream().filter(s -> s.returnUs(lookedAtUs) <= nowUs).forEach(s -> offer(nowUs, s));
+        servers.stream().filter(s -> s.nextStateChangeUs(lookedAtUs) <= nowUs).forEach(s -> offer(nowUs, s));
         queue.offer(REFUSALS, lane -> true, call -> true, call -> true, call -> dispatch(nowUs, call));
         lookedAtUs = nowUs;
         lookAtUs = nextLook(nowUs);
     }
 
     /** Does what has become due, and offers the server that an event freed or changed, if any. */
-    private void advance(long nowUs, Backend changed) {
+    private void advance(long nowUs, ServerState changed) {
         if (askAtUs <= nowUs && !watching) {
             askAtUs = Long.MAX_VALUE;
             actions.watchServers();
@@ -1094,9 +1113,9 @@
         if (askAtUs != Long.MAX_VALUE) {
             wake(askAtUs);
         }
-        while (!sent.isEmpty() && (!sent.peek().waitsForAnswer() || sent.peek().overdueAtUs <= nowUs)) {
+        while (!sent.isEmpty() && (!sent.peek().isAwaitingResponse() || sent.peek().overdueAtUs <= nowUs)) {
             Attempt oldest = sent.poll();
-            if (oldest.waitsForAnswer()) {
+            if (oldest.isAwaitingResponse()) {
                 oldest.overdue = true;
                 silent(nowUs, oldest.server);
                 hedge(nowUs, oldest.call);
@@ -1116,7 +1135,7 @@
         }
         if (changed != null) {
             offer(nowUs, changed);
-            lookAtUs = Math.min(lookAtUs, changed.returnUs(nowUs));
+            lookAtUs = Math.min(lookAtUs, changed.nextStateChangeUs(nowUs));
         }
         if (lookAtUs <= nowUs) {
             look(nowUs);
--- a/src/main/java/passhatch/OperatorLog.java
+++ b/src/main/java/passhatch/OperatorLog.java
@@ -6,18 +6,18 @@
 final class OperatorLog {
 
     /** At most one line in this time. */
-    private static final long SAY_AGAIN_US = 10_000_000;
+    private static final long MIN_INTERVAL_US = 10_000_000;
 
     private final Actions actions;
-    private long sayAtUs = Long.MIN_VALUE;
+    private long nextLineAtUs = Long.MIN_VALUE;
 
     OperatorLog(Actions actions) {
         this.actions = actions;
     }
 
-    void say(long nowUs, String subject, String text) {
-        if (sayAtUs <= nowUs) {
-            sayAtUs = nowUs + SAY_AGAIN_US;
+    void warn(long nowUs, String subject, String text) {
+        if (nextLineAtUs <= nowUs) {
+            nextLineAtUs = nowUs + MIN_INTERVAL_US;
             actions.log(subject + text);
         }
     }
--- a/src/main/java/passhatch/RetryBudget.java
+++ b/src/main/java/passhatch/RetryBudget.java
@@ -4,21 +4,21 @@
 final class RetryBudget {
 
     /** Paid in by each request, so that retries add a tenth of load at most for long. */
-    private static final double DEPOSIT = 0.1;
+    private static final double DEPOSIT_PER_REQUEST = 0.1;
     /** Further attempts that may be saved up for a burst of failures. */
     private static final double CAPACITY = 5;
 
     private double balance = CAPACITY;
 
     void deposit() {
-        balance = Math.min(CAPACITY, balance + DEPOSIT);
+        balance = Math.min(CAPACITY, balance + DEPOSIT_PER_REQUEST);
     }
 
-    boolean affords(double price) {
-        return balance >= price;
+    boolean canAfford(double cost) {
+        return balance >= cost;
     }
 
-    void withdraw(double price) {
-        balance -= price;
+    void withdraw(double cost) {
+        balance -= cost;
     }
 }
--- a/src/main/java/passhatch/ServerNames.java
+++ b/src/main/java/passhatch/ServerNames.java
@@ -11,38 +11,38 @@
 final class ServerNames {
 
     /** Servers remembered as once listed; ever new ones come, and what nobody forgets grows for good. */
-    private static final int MOST_NAMED = 4096;
+    private static final int MAX_REMEMBERED = 4096;
 
     /** All that the latest list names. */
-    final Set<String> inList = new HashSet<>();
+    final Set<String> listed = new HashSet<>();
     /** Servers taken out by hand. They are kept beside the list, so that no list brings one back. */
-    final Set<String> out = new HashSet<>();
+    final Set<String> disabled = new HashSet<>();
     /**
      * Servers put back by hand that no call has reached since; by id, as the list may tell of their restart,
      * or bring them again, only later.
      */
-    final Set<String> returned = new HashSet<>();
+    final Set<String> reenabled = new HashSet<>();
     /** All that lists ever named, the earliest named first. */
-    private final Set<String> named = new LinkedHashSet<>();
+    private final Set<String> everListed = new LinkedHashSet<>();
 
     boolean knows(String id) {
-        return named.contains(id) || out.contains(id);
+        return everListed.contains(id) || disabled.contains(id);
     }
 
     /** Takes in a line of a list. */
-    void add(Server line) {
-        if (line.status() == ServerStatus.GONE) {
-            inList.remove(line.id());
+    void update(Server server) {
+        if (server.status() == ServerStatus.GONE) {
+            listed.remove(server.id());
         } else {
-            inList.add(line.id());
+            listed.add(server.id());
         }
-        named.add(line.id());
-        Iterator<String> earliest = named.iterator();
-        while (named.size() > MOST_NAMED + inList.size() + out.size()) {
-            String id = earliest.next();
-            if (!inList.contains(id) && !out.contains(id)) {
-                earliest.remove();
-                returned.remove(id);
+        everListed.add(server.id());
+        Iterator<String> oldestFirst = everListed.iterator();
+        while (everListed.size() > MAX_REMEMBERED + listed.size() + disabled.size()) {
+            String id = oldestFirst.next();
+            if (!listed.contains(id) && !disabled.contains(id)) {
+                oldestFirst.remove();
+                reenabled.remove(id);
             }
         }
     }
--- a/src/main/java/passhatch/Subsetting.java
+++ b/src/main/java/passhatch/Subsetting.java
@@ -30,8 +30,8 @@
     private final int replica;
     private final int replicas;
     private final HashRing ring = new HashRing();
-    private List<Backend> members = List.of();
-    private List<Backend> all = List.of();
+    private List<ServerState> members = List.of();
+    private List<ServerState> all = List.of();
 
     Subsetting(int replica, int replicas) {
         this.replica = replica;
@@ -39,12 +39,12 @@
     }
 
     /** The servers that this replica keeps to, those of earlier rounds first. */
-    List<Backend> members() {
+    List<ServerState> members() {
         return members;
     }
 
     /** The members, then all others in the order in which they stand in for members out of use. */
-    List<Backend> all() {
+    List<ServerState> all() {
         return all = all.size() < ring.size() ? ring.order(members, replica) : all;
     }
 
@@ -53,7 +53,7 @@
      *
      * @param wanted members of each replica; all servers where there are fewer
      */
-    void change(Collection<Backend> gone, Collection<Backend> come, int wanted) {
+    void change(Collection<ServerState> gone, Collection<ServerState> come, int wanted) {
         ring.change(gone, come);
         all = List.of();
         members = List.of();
@@ -96,12 +96,12 @@
 
     /** Takes this replica's own servers over, after those that too few keep to have been joined by more. */
     private void take(Pairings pairings, double least) {
-        List<Backend> own = new ArrayList<>();
+        List<ServerState> own = new ArrayList<>();
         for (int i = 0; i < pairings.held[replica]; i++) {
             own.add(ring.server(pairings.server(replica, i)));
         }
         for (int s = 0; s < ring.slots(); s++) {
-            Backend server = ring.server(s);
+            ServerState server = ring.server(s);
             // A part of one more or less: else all servers were to be joined at once where the mean changes.
             int users = server == null ? 0 : (int) Math.max(1, least + HashRing.part(server.hash));
             Set<Integer> joined = pairings.users[s] < users ? new HashSet<>() : Set.of();
--- a/src/main/java/passhatch/adapter/SettingsReader.java
+++ b/src/main/java/passhatch/adapter/SettingsReader.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import passhatch.Balancer.DedupGroup;
+import passhatch.Balancer.DedupScope;
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.Limits;
 import passhatch.Balancer.Prices;
@@ -58,11 +58,11 @@
                         rules.number("coldFrom"), rules.whole("coldUs"), rules.number("tipMultiple"),
                         rules.whole("overloadForUs"), (long) rules.number("letGoInUs", 0)))
                 .prices(new Prices(prices.number("probe", 0), prices.number("crossZone", 0)))
-                .copies((int) top.whole("balancers"), (int) top.number("me", 0))
+                .replicas((int) top.whole("balancers"), (int) top.number("me", 0))
                 .tier((int) top.number("layer", 0), tiers)
                 .zone((int) top.number("locality", 0))
                 .watch(ask)
-                .overQuotaWorth(top.number("overShareWorth", 1))
+                .overQuotaValueFraction(top.number("overShareWorth", 1))
                 .tickUs((long) top.number("resolutionUs", 1))
                 .build();
     }
@@ -80,12 +80,12 @@
         };
     }
 
-    private DedupGroup group() throws WireException {
+    private DedupScope group() throws WireException {
         String text = text("group", "all");
         return switch (text) {
-            case "all" -> DedupGroup.ALL;
-            case "zone" -> DedupGroup.ZONE;
-            case "cell" -> DedupGroup.CELL;
+            case "all" -> DedupScope.ALL;
+            case "zone" -> DedupScope.ZONE;
+            case "cell" -> DedupScope.CELL;
             default -> throw bad("group", "'" + text + "' is not known");
         };
     }
--- a/src/main/java/passhatch/adapter/Wire.java
+++ b/src/main/java/passhatch/adapter/Wire.java
@@ -166,8 +166,8 @@
         }
         ListKind kind = switch (mode) {
             case "changes" -> ListKind.CHANGES;
-            case "all" -> ListKind.WHOLE;
-            case "remembered" -> ListKind.REMEMBERED;
+            case "all" -> ListKind.FULL;
+            case "remembered" -> ListKind.CACHED;
             default -> throw new WireException("line " + e.line + ": backendsChanged: mode '" + mode
                     + "' is not known");
         };
--- a/src/main/java/passhatch/proxy/Figures.java
+++ b/src/main/java/passhatch/proxy/Figures.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Consumer;
-import passhatch.Balancer.Census;
 import passhatch.Balancer.GiveUpReason;
+import passhatch.Balancer.ServerCounts;
 
 /** What this process has done since its start, counted where it happens and put into words when asked. */
 final class Figures {
@@ -62,7 +62,7 @@
     }
 
     /** All figures, one a line. */
-    String text(int concurrent, Census servers, List<Consumer<Lines>> others) {
+    String text(int concurrent, ServerCounts servers, List<Consumer<Lines>> others) {
         StringBuilder text = new StringBuilder();
         Lines lines = (name, value) -> line(text, name, value);
         for (End how : End.values()) {
@@ -73,7 +73,7 @@
         line(text, "dispatches", dispatches);
         line(text, "concurrent", concurrent);
         line(text, "targets", servers.listed());
-        line(text, "targets_disabled", servers.avoided());
+        line(text, "targets_disabled", servers.unavailable());
         lines.add("retries", retries);
         for (GiveUpReason reason : GiveUpReason.values()) {
             lines.add("gave_up." + lowerCase(reason), gaveUp[reason.ordinal()]);
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -158,7 +158,7 @@
 
     /** The figures as of now. */
     String counters() {
-        return figures.text(unanswered - arriving, balancer.census(clock.nowUs()),
+        return figures.text(unanswered - arriving, balancer.serverCounts(clock.nowUs()),
                 List.of(discovery.calls()::metrics, guard::metrics));
     }
 
@@ -171,9 +171,9 @@
     void setOut(String backend, boolean out) {
         tell(null, () -> {
             if (out) {
-                balancer.takeOut(clock.nowUs(), backend);
+                balancer.disable(clock.nowUs(), backend);
             } else {
-                balancer.putBack(clock.nowUs(), backend);
+                balancer.enable(clock.nowUs(), backend);
             }
         });
     }
@@ -198,14 +198,14 @@
 
     private void remember(EndpointList known) {
         learn(known);
-        tell(null, () -> balancer.serversChanged(clock.nowUs(), ListKind.REMEMBERED, known.servers()));
+        tell(null, () -> balancer.serversChanged(clock.nowUs(), ListKind.CACHED, known.servers()));
     }
 
     @Override
     public void listed(EndpointList list) {
         learn(list);
         tell(null, () -> balancer.serversChanged(clock.nowUs(),
-                list.whole() ? ListKind.WHOLE : ListKind.CHANGES, list.servers()));
+                list.whole() ? ListKind.FULL : ListKind.CHANGES, list.servers()));
         readiness.listed();
     }
 
@@ -324,7 +324,7 @@
                 }
             }
         }
-        tell(e, () -> balancer.requestWhole(clock.nowUs(), id, Math.max(0, e.deadlineUs - clock.nowUs())));
+        tell(e, () -> balancer.requestComplete(clock.nowUs(), id, Math.max(0, e.deadlineUs - clock.nowUs())));
     }
 
     private void arrived(Exchange e) {
@@ -336,7 +336,7 @@
     void spent(String id) {
         Exchange e = exchanges.get(id);
         if (e != null) {
-            tell(e, () -> balancer.bodySpent(clock.nowUs(), id));
+            tell(e, () -> balancer.bodyDiscarded(clock.nowUs(), id));
         }
     }
 
@@ -508,7 +508,7 @@
     }
 
     private boolean mayGet(Backend backend) {
-        return backend.up && !balancer.isOut(backend.target.id());
+        return backend.up && !balancer.isDisabled(backend.target.id());
     }
 
     /** The whole message, or the head of one whose body follows as it comes. */
@@ -534,7 +534,7 @@
     }
 
     @Override
-    public void givesUp(String id, GiveUpReason reason) {
+    public void reportGiveUp(String id, GiveUpReason reason) {
         figures.gaveUp(reason);
         Exchange e = exchanges.get(id);
         if (e != null) {
--- a/src/test/java/passhatch/LogicTest.java
+++ b/src/test/java/passhatch/LogicTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import passhatch.Balancer.DedupGroup;
+import passhatch.Balancer.DedupScope;
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.ListKind;
 import passhatch.Balancer.Outcome;
@@ -255,7 +255,7 @@
                     double part = "a".equals(p.sentTo.get(r).get(a)) ? breaks : 1.0 / 8;
                     p.end(r, a, random.nextDouble() < part ? broken : Outcome.OK);
                 }
-                resting += p.logic.census(p.now).avoided() > 0 ? 1 : 0;
+                resting += p.logic.serverCounts(p.now).unavailable() > 0 ? 1 : 0;
             }
             return resting / 4_000.0;
         }
@@ -469,9 +469,9 @@
         private Proxy bound(Set<Integer> zones, Set<Integer> models) {
             Proxy.Setup setup = setup();
             setup.more = List.of(new RequestClass("bound", 400 * MS, 1_000 * MS, 1, 0, Effect.SAFE,
-                    DedupGroup.ALL, 0, zones, models));
+                    DedupScope.ALL, 0, zones, models));
             Proxy p = new Proxy(setup);
-            p.logic.serversChanged(p.now, ListKind.REMEMBERED, List.of(
+            p.logic.serversChanged(p.now, ListKind.CACHED, List.of(
                     new Server("a", 0, 0, 0, ServerStatus.UP, 0), new Server("b", 0, 0, 0,
                             ServerStatus.UP, 1),
                     new Server("c", 0, 1, 0, ServerStatus.UP, 0), new Server("d", 0, 1, 0,
@@ -533,7 +533,7 @@
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             p.change("a", 0, ServerStatus.DRAINING);
             p.change("b", 0, ServerStatus.GONE);
-            p.logic.serversChanged(p.now, ListKind.WHOLE, List.of(
+            p.logic.serversChanged(p.now, ListKind.FULL, List.of(
                     new Server("a", 0, 0, 0, ServerStatus.DRAINING), new Server("d", 0, 0, 0,
                             ServerStatus.UP)));
             for (int i = 0; i < 10; i++) {
@@ -559,7 +559,7 @@
                             ServerStatus.DRAINING)));
             assertEquals(List.of(1, 1, 0), List.of(p.count("close a"), p.count("close b"),
                     p.count("close c")));
-            p.logic.serversChanged(p.now, ListKind.WHOLE, List.of(new Server("c", 0, 0, 0,
+            p.logic.serversChanged(p.now, ListKind.FULL, List.of(new Server("c", 0, 0, 0,
                     ServerStatus.UP)));
             p.pass(100);
             p.end(toA, Outcome.OK);
@@ -640,7 +640,7 @@
                 String held = p.request(Proxy.UNSAFE);
                 p.sayIdle();
                 String at = p.at(held);
-                p.logic.serversChanged(p.now, ListKind.WHOLE, List.of());
+                p.logic.serversChanged(p.now, ListKind.FULL, List.of());
                 String waits = p.request(Proxy.SAFE);
                 assertNull(p.at(waits), "sent to a server that is gone");
                 p.end(held, Outcome.OK);
@@ -788,7 +788,7 @@
             p.request(Proxy.UNSAFE);
             assertEquals(1, lines(p).size(), "one line in ten seconds");
             p.pass(10_000);
-            p.logic.serversChanged(p.now, ListKind.WHOLE, List.of());
+            p.logic.serversChanged(p.now, ListKind.FULL, List.of());
             p.request(Proxy.UNSAFE);
             p.request(Proxy.UNSAFE);
             assertEquals(
@@ -905,7 +905,7 @@
             for (int i = 0; i < 12; i++) {
                 list.add(new Server("s" + i, 0, i < 6 ? 0 : 1, 0, ServerStatus.UP));
             }
-            p.logic.serversChanged(p.now, ListKind.REMEMBERED, list);
+            p.logic.serversChanged(p.now, ListKind.CACHED, list);
             for (int i = 0; i < 30; i++) {
                 assertTrue(Integer.parseInt(p.serve().substring(1)) < 6, "left its zone without need");
             }
@@ -1289,7 +1289,7 @@
         void aCallWorthMoreIsSentWhereTheLeastWorthMustWait() {
             Proxy.Setup setup = setup();
             setup.more = List.of(new RequestClass("dear", 400 * MS, 1_000 * MS, 10, 0, Effect.SAFE,
-                    DedupGroup.ALL, 0));
+                    DedupScope.ALL, 0));
             Proxy p = new Proxy(setup).with("a");
             for (int i = 0; i < 20; i++) {
                 p.serve();
@@ -1308,8 +1308,8 @@
             // servers choked.
             Proxy.Setup setup = setup();
             setup.more = List.of(
-                    new RequestClass("long", 800 * MS, 1_000 * MS, 1, 0, Effect.SAFE, DedupGroup.ALL, 0),
-                    new RequestClass("dear", 800 * MS, 1_000 * MS, 2, 0, Effect.SAFE, DedupGroup.ALL, 0));
+                    new RequestClass("long", 800 * MS, 1_000 * MS, 1, 0, Effect.SAFE, DedupScope.ALL, 0),
+                    new RequestClass("dear", 800 * MS, 1_000 * MS, 2, 0, Effect.SAFE, DedupScope.ALL, 0));
             int usual = sentAtOnce(setup, Proxy.SAFE);
             assertEquals(usual, sentAtOnce(setup, 4));
             assertTrue(sentAtOnce(setup, 5) > usual);
@@ -1405,13 +1405,13 @@
             return new Proxy(setup).with("a", "b", "c", "d");
         }
 
-        private RequestClass kind(Effect effect, DedupGroup group, Set<Integer> zones) {
+        private RequestClass kind(Effect effect, DedupScope group, Set<Integer> zones) {
             return new RequestClass("k", 400 * MS, 1_000 * MS, 1, 0, effect, group, 600 * MS, zones, null);
         }
 
         private void takeOut(Proxy p, String... servers) {
             for (String server : servers) {
-                p.logic.takeOut(p.now, server);
+                p.logic.disable(p.now, server);
             }
         }
 
@@ -1481,29 +1481,29 @@
             Proxy p = neverCold();
             takeOut(p, "a", "b", "c", "d");
             List<String> queued = List.of(p.request(Proxy.SAFE), p.request(Proxy.UNSAFE));
-            p.logic.putBack(p.now, "c");
+            p.logic.enable(p.now, "c");
             queued.forEach(r -> assertEquals("c", p.at(r)));
         }
 
         /** However many newer calls are queued that it is not for. */
         @Test
         void aServerPutBackGoesToThoseThatMayUseIt() {
-            Proxy p = neverCold(kind(Effect.SAFE, DedupGroup.ALL, Set.of(0)),
-                    kind(Effect.SAFE, DedupGroup.ALL, Set.of(1)));
+            Proxy p = neverCold(kind(Effect.SAFE, DedupScope.ALL, Set.of(0)),
+                    kind(Effect.SAFE, DedupScope.ALL, Set.of(1)));
             takeOut(p, "a", "b", "c", "d");
             String near = p.request(FIRST);
             List<String> far = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 far.add(p.request(SECOND));
             }
-            p.logic.putBack(p.now, "a");
+            p.logic.enable(p.now, "a");
             assertEquals("a", p.at(near));
             far.forEach(r -> assertNull(p.at(r)));
         }
 
         @Test
         void aQueuedRepeatGoesOnlyToItsCell() {
-            Proxy p = neverCold(kind(Effect.KEYED, DedupGroup.CELL, null));
+            Proxy p = neverCold(kind(Effect.KEYED, DedupScope.CELL, null));
             takeOut(p, "b", "d");
             Map<String, String> first = new HashMap<>();
             for (int i = 0; i < 4; i++) {
@@ -1512,9 +1512,9 @@
             }
             assertEquals(Set.of("a", "c"), new HashSet<>(first.values()));
             first.keySet().forEach(r -> p.end(r, Outcome.RESET));
-            p.logic.putBack(p.now, "b");
+            p.logic.enable(p.now, "b");
             first.forEach((r, at) -> assertEquals(at.equals("a") ? "b" : "c", p.at(r)));
-            p.logic.putBack(p.now, "d");
+            p.logic.enable(p.now, "d");
             first.forEach((r, at) -> assertEquals(at.equals("a") ? "b" : "d", p.at(r)));
         }
     }
@@ -1526,8 +1526,8 @@
         @Test
         void getsNothingFromThenOn() {
             Proxy p = new Proxy(setup()).with("a", "b");
-            p.logic.takeOut(p.now, "a");
-            assertTrue(p.logic.isOut("a"));
+            p.logic.disable(p.now, "a");
+            assertTrue(p.logic.isDisabled("a"));
             for (int i = 0; i < 6; i++) {
                 assertEquals("b", p.at(p.request(Proxy.SAFE)));
             }
@@ -1537,11 +1537,11 @@
         @Test
         void staysOutWhateverListsSay() {
             Proxy p = new Proxy(setup()).with("a", "b");
-            p.logic.takeOut(p.now, "a");
+            p.logic.disable(p.now, "a");
             p.change("a", 0, ServerStatus.GONE);
             p.change("a", p.now, ServerStatus.UP);
             assertEquals("b", p.serve());
-            p.logic.serversChanged(p.now, ListKind.WHOLE, List.of(
+            p.logic.serversChanged(p.now, ListKind.FULL, List.of(
                     new Server("a", p.now - 1, 0, 0, ServerStatus.UP),
                     new Server("b", 0, 0, 0, ServerStatus.UP)));
             p.pass(20_000);
@@ -1555,7 +1555,7 @@
             Proxy p = new Proxy(setup()).with("a", "b");
             String call = p.request(Proxy.SAFE);
             String other = p.at(call).equals("a") ? "b" : "a";
-            p.logic.takeOut(p.now, other);
+            p.logic.disable(p.now, other);
             p.end(call, Outcome.CONNECT_FAILED);
             assertEquals(1, p.attempts.get(call), "no server is left that it may use");
         }
@@ -1565,12 +1565,12 @@
             Proxy.Setup neverCold = setup();
             neverCold.coldFrom = 1;
             Proxy p = new Proxy(neverCold).with("a", "b");
-            p.logic.takeOut(p.now, "a");
-            p.logic.takeOut(p.now, "b");
+            p.logic.disable(p.now, "a");
+            p.logic.disable(p.now, "b");
             String call = p.request(Proxy.SAFE);
             p.pass(100);
             assertNull(p.at(call));
-            p.logic.putBack(p.now, "b");
+            p.logic.enable(p.now, "b");
             p.pass(100);
             assertEquals("b", p.at(call));
         }
@@ -1578,7 +1578,7 @@
         @Test
         void whereAllStayOutCallsAreEnded() {
             Proxy p = new Proxy(setup()).with("a");
-            p.logic.takeOut(p.now, "a");
+            p.logic.disable(p.now, "a");
             String call = p.request(Proxy.SAFE);
             p.pass(2_000);
             assertNull(p.at(call));
@@ -1594,10 +1594,10 @@
             for (int i = 0; i < 30; i++) {
                 p.serve();
             }
-            p.logic.takeOut(p.now, "a");
-            p.logic.takeOut(p.now, "a");
-            p.logic.putBack(p.now, "a");
-            assertFalse(p.logic.isOut("a"));
+            p.logic.disable(p.now, "a");
+            p.logic.disable(p.now, "a");
+            p.logic.enable(p.now, "a");
+            assertFalse(p.logic.isDisabled("a"));
             int early = 0;
             for (int i = 0; i < 30; i++) {
                 early += p.serve().equals("a") ? 1 : 0;
@@ -1623,9 +1623,9 @@
             }
             assertEquals(5, circle.size());
             for (String server : List.of("a", "b", "c", "d", "e", "f", "g")) {
-                p.logic.takeOut(p.now, server);
+                p.logic.disable(p.now, server);
                 p.pass(100);
-                p.logic.putBack(p.now, server);
+                p.logic.enable(p.now, server);
                 int before = p.sentTo.size();
                 Set<String> used = new HashSet<>();
                 for (int i = 0; i < 60 && !used.contains(server); i++) {
@@ -1653,11 +1653,11 @@
                     circle.add(p.serve());
                 }
                 for (String server : List.of("a", "b", "c", "d", "e", "f", "g")) {
-                    p.logic.takeOut(p.now, server);
+                    p.logic.disable(p.now, server);
                     if (gone) {
                         p.change(server, 0, ServerStatus.GONE);
                     }
-                    p.logic.putBack(p.now, server);
+                    p.logic.enable(p.now, server);
                     p.pass(50);
                     p.change(server, p.now, ServerStatus.UP);
                     boolean used = false;
@@ -1689,8 +1689,8 @@
                 }
                 p.pass(10);
             }
-            p.logic.takeOut(p.now, "a");
-            p.logic.putBack(p.now, "a");
+            p.logic.disable(p.now, "a");
+            p.logic.enable(p.now, "a");
             Set<String> used = new HashSet<>();
             for (int i = 0; i < 10; i++) {
                 used.add(p.serve());
@@ -1702,7 +1702,7 @@
         void idleConnectionsToItAreClosedAtOnceAndAfterItsLastCalls() {
             Proxy p = new Proxy(setup()).with("a");
             String call = p.request(Proxy.SAFE);
-            p.logic.takeOut(p.now, "a");
+            p.logic.disable(p.now, "a");
             assertEquals(1, p.count("close a"));
             p.end(call, Outcome.OK);
             assertEquals(2, p.count("close a"));
@@ -1715,19 +1715,19 @@
             p.change("d", 0, ServerStatus.DRAINING);
             p.change("c", 0, ServerStatus.GONE);
             assertTrue(p.logic.knows("c"), "it was listed once");
-            assertEquals(new Balancer.Census(3, 1), p.logic.census(p.now));
-            p.logic.takeOut(p.now, "a");
-            p.logic.takeOut(p.now, "c");
-            assertEquals(new Balancer.Census(3, 2), p.logic.census(p.now));
-            p.logic.putBack(p.now, "a");
-            assertEquals(new Balancer.Census(3, 1), p.logic.census(p.now));
+            assertEquals(new Balancer.ServerCounts(3, 1), p.logic.serverCounts(p.now));
+            p.logic.disable(p.now, "a");
+            p.logic.disable(p.now, "c");
+            assertEquals(new Balancer.ServerCounts(3, 2), p.logic.serverCounts(p.now));
+            p.logic.enable(p.now, "a");
+            assertEquals(new Balancer.ServerCounts(3, 1), p.logic.serverCounts(p.now));
         }
 
         /** A successor takes bans over before it has heard of the servers. */
         @Test
         void mayBeNamedBeforeItIsListed() {
             Proxy p = new Proxy(setup()).with("b");
-            p.logic.takeOut(p.now, "a");
+            p.logic.disable(p.now, "a");
             assertTrue(p.logic.knows("a"));
             p.change("a", 0, ServerStatus.UP);
             p.pass(20_000);
@@ -1769,7 +1769,7 @@
             String call = arriving(p, Proxy.SAFE);
             p.pass(900);
             assertEquals(1, p.attempts.get(call), "no second copy while it comes in");
-            p.logic.requestWhole(p.now, call, 1_000 * MS);
+            p.logic.requestComplete(p.now, call, 1_000 * MS);
             p.pass(900);
             assertEquals(2, p.attempts.get(call), "overdue, as others are");
             assertFalse(p.did("fail " + call) || p.did("refuse " + call));
@@ -1782,7 +1782,7 @@
             p.end(held, Outcome.CONNECT_FAILED);
             assertEquals(2, p.attempts.get(held));
             String spent = arriving(p, Proxy.UNSAFE);
-            p.logic.bodySpent(p.now, spent);
+            p.logic.bodyDiscarded(p.now, spent);
             p.end(spent, Outcome.CONNECT_FAILED);
             assertEquals(1, p.attempts.get(spent));
             assertTrue(p.did("refuse " + spent), "it cannot have run, so its client may come again");
@@ -1795,8 +1795,8 @@
                 p.serve();
             }
             String call = arriving(p, Proxy.SAFE);
-            p.logic.bodySpent(p.now, call);
-            p.logic.requestWhole(p.now, call, 1_000 * MS);
+            p.logic.bodyDiscarded(p.now, call);
+            p.logic.requestComplete(p.now, call, 1_000 * MS);
             p.pass(900);
             assertEquals(1, p.attempts.get(call));
         }
--- a/src/test/java/passhatch/Proxy.java
+++ b/src/test/java/passhatch/Proxy.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import passhatch.Balancer.Actions;
-import passhatch.Balancer.DedupGroup;
+import passhatch.Balancer.DedupScope;
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.Limits;
 import passhatch.Balancer.ListKind;
@@ -52,20 +52,20 @@
 
         Settings settings() {
             List<RequestClass> classes = new ArrayList<>(List.of(
-                    kind(Effect.SAFE, DedupGroup.ALL), kind(Effect.UNSAFE, DedupGroup.ALL),
-                    kind(Effect.KEYED, DedupGroup.ALL), kind(Effect.KEYED, DedupGroup.ZONE)));
+                    kind(Effect.SAFE, DedupScope.ALL), kind(Effect.UNSAFE, DedupScope.ALL),
+                    kind(Effect.KEYED, DedupScope.ALL), kind(Effect.KEYED, DedupScope.ZONE)));
             classes.addAll(more);
             SettingsBuilder built = new SettingsBuilder();
             classes.forEach(built::requestClass);
-            return built.tenant(new Tenant("t", 0)).tenant(new Tenant("u", quota)).overQuotaWorth(0.2)
+            return built.tenant(new Tenant("t", 0)).tenant(new Tenant("u", quota)).overQuotaValueFraction(0.2)
                     .limits(new Limits(maxAttempts, true, probes, retryAfterUs, callsPerConnection,
                             keepaliveUs, secondCopies))
                     .rules(new Rules(500 * MS, watch ? 8_000 * MS : 0, coldFrom, 8_000 * MS, tipMultiple,
                             1_000 * MS, closeWithinUs))
-                    .prices(new Prices(0.001, crossZone)).copies(copies, copy).watch(watch).build();
+                    .prices(new Prices(0.001, crossZone)).replicas(copies, copy).watch(watch).build();
         }
 
-        private RequestClass kind(Effect effect, DedupGroup group) {
+        private RequestClass kind(Effect effect, DedupScope group) {
             return new RequestClass(effect + "-" + group, aimUs, 1_000 * MS, 1, 0, effect, group, 600 * MS);
         }
     }
@@ -93,7 +93,7 @@
         for (String id : ids) {
             list.add(new Server(id, 0, list.size() / 2, list.size() / 2, ServerStatus.UP));
         }
-        logic.serversChanged(now, ListKind.REMEMBERED, list);
+        logic.serversChanged(now, ListKind.CACHED, list);
         return this;
     }
 
--- a/src/test/java/passhatch/RulesTest.java
+++ b/src/test/java/passhatch/RulesTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import passhatch.Balancer.DedupGroup;
+import passhatch.Balancer.DedupScope;
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.ListKind;
 import passhatch.Balancer.Outcome;
@@ -58,14 +58,14 @@
             setup.probes = random.nextBoolean();
             setup.retryAfterUs = random.nextBoolean() ? 1_000 * MS : 0;
             setup.more = List.of(new RequestClass("bound", 400 * MS, 1_000 * MS, 2, 0, Effect.SAFE,
-                    DedupGroup.ALL, 0, Set.of(1), null));
+                    DedupScope.ALL, 0, Set.of(1), null));
             proxy = new Proxy(setup, seed);
             List<Server> list = new ArrayList<>();
             for (int i = 0; i < SERVERS; i++) {
                 up[i] = true;
                 list.add(server(i, ServerStatus.UP));
             }
-            proxy.logic.serversChanged(proxy.now, ListKind.REMEMBERED, list);
+            proxy.logic.serversChanged(proxy.now, ListKind.CACHED, list);
         }
 
         private static Server server(int i, ServerStatus status) {
--- a/src/test/java/passhatch/SubsettingTest.java
+++ b/src/test/java/passhatch/SubsettingTest.java
@@ -23,8 +23,8 @@
         return IntStream.range(0, servers).mapToObj(i -> "10.0." + i / 250 + "." + i % 250 + ":80").toList();
     }
 
-    private static List<Backend> backends(List<String> ids) {
-        return ids.stream().map(Backend::new).toList();
+    private static List<ServerState> backends(List<String> ids) {
+        return ids.stream().map(ServerState::new).toList();
     }
 
     private static Set<String> subset(int replica, int replicas, List<String> ids, int wanted) {
@@ -78,8 +78,8 @@
         Set<String> expected = subset(3, 50, ids, 5);
         assertEquals(expected, subset(3, 50, turned, 5));
         Subsetting grown = new Subsetting(3, 50);
-        List<Backend> all = backends(ids);
-        List<Backend> passing = backends(List.of("10.1.0.1:80", "10.1.0.2:80"));
+        List<ServerState> all = backends(ids);
+        List<ServerState> passing = backends(List.of("10.1.0.1:80", "10.1.0.2:80"));
         grown.change(List.of(), passing, 5);
         grown.change(List.of(), all.subList(40, 80), 5);
         grown.change(passing.subList(0, 1), all.subList(0, 40), 5);
@@ -91,7 +91,7 @@
     void othersStandInOnceEachAfterTheMembers() {
         Subsetting s = new Subsetting(0, 50);
         s.change(List.of(), backends(ids(80)), 5);
-        List<Backend> all = s.all();
+        List<ServerState> all = s.all();
         assertEquals(s.members(), all.subList(0, s.members().size()));
         assertEquals(80, new HashSet<>(all).size());
         assertEquals(80, all.size());
--- a/src/test/java/passhatch/example/EmbeddingExample.java
+++ b/src/test/java/passhatch/example/EmbeddingExample.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import passhatch.Balancer;
 import passhatch.Balancer.Actions;
-import passhatch.Balancer.DedupGroup;
+import passhatch.Balancer.DedupScope;
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.ListKind;
 import passhatch.Balancer.Outcome;
@@ -27,8 +27,8 @@
         // README: begin
         Settings settings = new SettingsBuilder()
                 .requestClass(new RequestClass(
-                        "read", 200_000, 1_000_000, 1, 0, Effect.SAFE, DedupGroup.ALL, 0))
-                .copies(4, 0)  // four proxies send to these servers; this is the first
+                        "read", 200_000, 1_000_000, 1, 0, Effect.SAFE, DedupScope.ALL, 0))
+                .replicas(4, 0)  // four proxies send to these servers; this is the first
                 .build();
         Actions actions = new Actions() {
             @Override public void send(String request, String server, long timeoutUs) {
@@ -56,7 +56,7 @@
         };
         Balancer balancer = new Logic(settings, 42, actions);
         long now = 0;
-        balancer.serversChanged(now, ListKind.REMEMBERED, List.of(
+        balancer.serversChanged(now, ListKind.CACHED, List.of(
                 new Server("10.0.0.1:80", 0, 0, 0, ServerStatus.UP),
                 new Server("10.0.0.2:80", 0, 0, 0, ServerStatus.UP)));
         balancer.request(now, new Request("r1", 0, 0, 1_000_000, 0, false));
--- a/src/test/java/passhatch/proxy/ProxyServerTest.java
+++ b/src/test/java/passhatch/proxy/ProxyServerTest.java
@@ -209,7 +209,7 @@
         rig.call(Rig.get("r", "X-Deadline: " + deadline + "\r\nX-Cost-Hint: " + hint + "\r\n"));
         Balancer.Request request = taken.take();
         assertTrue(request.timeLeftUs() <= mostLeftUs, request.toString());
-        assertEquals(workUs, request.workUs());
+        assertEquals(workUs, request.expectedWorkUs());
     }
 
     @ParameterizedTest
--- a/src/test/java/passhatch/proxy/ReloadTest.java
+++ b/src/test/java/passhatch/proxy/ReloadTest.java
@@ -122,7 +122,7 @@
         rig.replace("\"discovery\":\"pushed\"", "\"discovery\":\"on_request\"")
                 .replace("\"coldFrom\":0.4", "\"coldFrom\":0.4,\"askEveryUs\":9000000");
         rig.module((settings, seed, actions) -> ScriptedModule.of((name, args) -> {
-            if (name.equals("serversChanged") && args[1] == Balancer.ListKind.REMEMBERED) {
+            if (name.equals("serversChanged") && args[1] == Balancer.ListKind.CACHED) {
                 actions.watchServers();
             }
         }));
