--- a/lab/src/main/java/passhatch/lab/ModuleBench.java
+++ b/lab/src/main/java/passhatch/lab/ModuleBench.java
@@ -18,7 +18,7 @@
 import passhatch.Balancer.Request;
 import passhatch.Balancer.Server;
 import passhatch.Balancer.ServerStatus;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 
 /**
  * What single events cost the module, by servers in its list and instances that share them. Run by
@@ -62,7 +62,7 @@
     }
 
     private Balancer withList() {
-        Balancer fresh = new Logic(Sites.settings(copies, copies / 2), 42, actions);
+        Balancer fresh = new LeastLoadedBalancer(Sites.settings(copies, copies / 2), 42, actions);
         fresh.serversChanged(nowUs, ListKind.CACHED, list);
         return fresh;
     }
--- a/lab/src/main/java/passhatch/lab/ObservedInstance.java
+++ b/lab/src/main/java/passhatch/lab/ObservedInstance.java
@@ -11,7 +11,7 @@
 import passhatch.Balancer.Outcome;
 import passhatch.Balancer.Request;
 import passhatch.Balancer.Server;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 
 /** One instance of the module whose calls are answered by hand, to see by its sends which servers it uses. */
 final class ObservedInstance extends NoActions {
@@ -28,7 +28,7 @@
     private long requests;
 
     ObservedInstance(int copies, int copy, long seed, List<Server> list) {
-        module = new Logic(Sites.settings(copies, copy), seed, this);
+        module = new LeastLoadedBalancer(Sites.settings(copies, copy), seed, this);
         module.serversChanged(nowUs, ListKind.CACHED, list);
     }
 
--- a/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
+++ b/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
@@ -20,7 +20,7 @@
 import passhatch.Balancer.RequestClass;
 import passhatch.Balancer.Server;
 import passhatch.Balancer.ServerStatus;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 import passhatch.SettingsBuilder;
 
 /** What an event costs the decision module while calls are queued; one comes every 100 us. */
@@ -44,7 +44,7 @@
     private record Sent(String request, String server) { }
 
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
-    private Logic logic;
+    private LeastLoadedBalancer logic;
     private long nowUs;
     private long requests;
     private long events;
@@ -57,7 +57,8 @@
                 DedupScope.ALL, 0);
         RequestClass quick = new RequestClass("quick", 2 * CALL_US, 2 * CALL_US, 1, 0, Effect.SAFE,
                 DedupScope.ALL, 0);
-        logic = new Logic(new SettingsBuilder().requestClass(patient).requestClass(quick).build(), 1, this);
+        logic = new LeastLoadedBalancer(new SettingsBuilder().requestClass(patient).requestClass(
+                quick).build(), 1, this);
         logic.serversChanged(nowUs, ListKind.CACHED, IntStream.range(0, servers)
                 .mapToObj(i -> new Server("s" + i, 0, 0, 0, ServerStatus.UP)).toList());
         while (requests < servers) {
--- a/lab/src/main/java/passhatch/lab/RetainedHeap.java
+++ b/lab/src/main/java/passhatch/lab/RetainedHeap.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import passhatch.Balancer;
 import passhatch.Balancer.ListKind;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 
 /**
  * Bytes that an instance keeps for each server, names included: the difference in live heap with and without
@@ -22,7 +22,7 @@
         List<Balancer> kept = new ArrayList<>(instances);
         long before = live();
         for (int i = 0; i < instances; i++) {
-            Balancer module = new Logic(Sites.settings(copies, 0), i, new NoActions());
+            Balancer module = new LeastLoadedBalancer(Sites.settings(copies, 0), i, new NoActions());
             module.serversChanged(1_000_000, ListKind.CACHED, Sites.servers(servers, seed + i));
             kept.add(module);
         }
--- a/lab/src/main/java/passhatch/lab/SimulatedProxy.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedProxy.java
@@ -11,7 +11,7 @@
 import passhatch.Balancer.Outcome;
 import passhatch.Balancer.Request;
 import passhatch.Balancer.Server;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 
 /**
  * A simulated (in-process) instance: the real module, with simulated time and servers in place of the network
@@ -69,7 +69,7 @@
         this.seconds = fleet.seconds();
         this.random = random;
         this.meanGapUs = meanGapUs;
-        this.module = new Logic(Sites.settings(copies, copy), random.nextLong(), this);
+        this.module = new LeastLoadedBalancer(Sites.settings(copies, copy), random.nextLong(), this);
         module.serversChanged(loop.nowUs(), ListKind.CACHED, list);
         expectRequest();
     }
--- a/lab/src/main/java/passhatch/proxy/WatchingProxy.java
+++ b/lab/src/main/java/passhatch/proxy/WatchingProxy.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import passhatch.Balancer;
 import passhatch.Balancer.Settings;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 
 /**
  * The control path of one proxy, in this process: its real loop, discovery client and decision module, with
@@ -45,7 +45,8 @@
         BackendPool pool = new BackendPool(loop, clock, events, CONNECT_TIMEOUT_US,
                 settings.limits().keepaliveUs(), BACKEND_CONNECTIONS);
         proxy = new ProxyLoop(loop, clock, events, config, pool,
-                (told, number, actions) -> new ObservedBalancer(new Logic(told, number, actions), observer));
+                (told, number, actions) ->
+                new ObservedBalancer(new LeastLoadedBalancer(told, number, actions), observer));
     }
 
     /** Closes its watch and opens none again. To be called in its event loop. */
--- a/src/main/java/passhatch/SettingsBuilder.java
+++ b/src/main/java/passhatch/SettingsBuilder.java
@@ -12,7 +12,7 @@
 /**
  * Settings by name, with defaults: one copy, one tier, one zone, discovery that pushes, nothing priced, no
  * tenants. Only the classes of requests must be given. The meaning and the unit of each figure stand at the
- * records of {@link Balancer}; {@link Logic} checks them.
+ * records of {@link Balancer}; {@link LeastLoadedBalancer} checks them.
  */
 public final class SettingsBuilder {
 
--- a/src/main/java/passhatch/adapter/Wire.java
+++ b/src/main/java/passhatch/adapter/Wire.java
@@ -18,7 +18,7 @@
 import passhatch.Balancer.Outcome;
 import passhatch.Balancer.Request;
 import passhatch.Balancer.Server;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 
 /** Hosts the instances of one process: hands each its events and writes down its actions. */
 final class Wire {
@@ -133,7 +133,7 @@
         Map<String, Object> params = e.required(e.params, "params");
         long seed = e.required(e.nonce64, "nonce64");
         try {
-            Balancer balancer = new Logic(SettingsReader.read(params), seed, actions);
+            Balancer balancer = new LeastLoadedBalancer(SettingsReader.read(params), seed, actions);
             instances.put(e.who, new Instance(balancer, fields(params)));
         } catch (WireException | IllegalArgumentException bad) {
             throw new WireException("line " + e.line + ": powerOn: " + bad.getMessage());
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -21,7 +21,7 @@
 import passhatch.Balancer.Actions;
 import passhatch.Balancer.RequestClass;
 import passhatch.Balancer.Settings;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 
 /** One real proxy, from its start to its end. */
 public final class ProxyServer {
@@ -86,7 +86,7 @@
         NettyDefaults.set();
         ProxyServer server;
         try {
-            server = start(ProxyConfig.read(env), new EventLog(err), Logic::new);
+            server = start(ProxyConfig.read(env), new EventLog(err), LeastLoadedBalancer::new);
         } catch (ProxyConfig.BadConfig bad) {
             err.println("passhatch: " + bad.getMessage());
             return 2;
--- a/src/main/java/passhatch/proxy/Rehearsal.java
+++ b/src/main/java/passhatch/proxy/Rehearsal.java
@@ -16,7 +16,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.ExecutionException;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 
 /**
  * A short life of a proxy, played on loopback when the program is built: the JVM notes the classes that it
@@ -69,7 +69,7 @@
                 ProxyServer proxy = ProxyServer.start(ProxyConfig.read(Map.of("PROXY_NAME", "n",
                         "PROXY_LISTEN", "127.0.0.1:0", "PROXY_CONSOLE", "127.0.0.1:0", "PROXY_DISCOVERY",
                         here, "PROXY_CONFIG", config.toString(), "TMPDIR", folder.toString())),
-                        new EventLog(err), Logic::new);
+                        new EventLog(err), LeastLoadedBalancer::new);
                 for (int i = 0; i < REQUESTS; i++) {
                     call(proxy.address(), "GET /c/x HTTP/1.1\r\nHost: p\r\nX-Request-Id: r" + i
                             + "\r\nX-Tenant: t\r\nX-Deadline: 9000m\r\nX-Cost-Hint: 9\r\n\r\n");
--- a/src/test/java/passhatch/LogicTest.java
+++ b/src/test/java/passhatch/LogicTest.java
@@ -1387,7 +1387,7 @@
         setup.coldFrom = 0;
         e = assertThrows(IllegalArgumentException.class, () -> new Proxy(setup));
         assertTrue(e.getMessage().startsWith("rules.coldFrom"), e.getMessage());
-        assertThrows(IllegalArgumentException.class, () -> new Logic(null, 1, null));
+        assertThrows(IllegalArgumentException.class, () -> new LeastLoadedBalancer(null, 1, null));
         assertFalse(new Proxy(setup()).did("anything"));
     }
 
--- a/src/test/java/passhatch/Proxy.java
+++ b/src/test/java/passhatch/Proxy.java
@@ -70,7 +70,7 @@
         }
     }
 
-    final Logic logic;
+    final LeastLoadedBalancer logic;
     final List<String> done = new ArrayList<>();
     private final List<String> probed = new ArrayList<>();
     final Map<String, Integer> attempts = new HashMap<>();
@@ -80,7 +80,7 @@
     private int requests;
 
     Proxy(Setup setup, long seed) {
-        logic = new Logic(setup.settings(), seed, this);
+        logic = new LeastLoadedBalancer(setup.settings(), seed, this);
     }
 
     Proxy(Setup setup) {
--- a/src/test/java/passhatch/example/EmbeddingExample.java
+++ b/src/test/java/passhatch/example/EmbeddingExample.java
@@ -13,7 +13,7 @@
 import passhatch.Balancer.Server;
 import passhatch.Balancer.ServerStatus;
 import passhatch.Balancer.Settings;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 import passhatch.SettingsBuilder;
 
 /** A proxy that embeds the module: two servers, one request, served by the first of them. */
@@ -54,7 +54,7 @@
 
             @Override public void log(String text) { }
         };
-        Balancer balancer = new Logic(settings, 42, actions);
+        Balancer balancer = new LeastLoadedBalancer(settings, 42, actions);
         long now = 0;
         balancer.serversChanged(now, ListKind.CACHED, List.of(
                 new Server("10.0.0.1:80", 0, 0, 0, ServerStatus.UP),
--- a/src/test/java/passhatch/proxy/ConsoleTest.java
+++ b/src/test/java/passhatch/proxy/ConsoleTest.java
@@ -335,7 +335,7 @@
             env.put("PROXY_CONSOLE", address);
             ProxyConfig config = ProxyConfig.read(env);
             ProxyConfig.BadConfig bad = assertThrows(ProxyConfig.BadConfig.class, () -> ProxyServer.start(
-                    config, new EventLog(System.err), passhatch.Logic::new));
+                    config, new EventLog(System.err), passhatch.LeastLoadedBalancer::new));
             assertTrue(bad.getMessage().startsWith("PROXY_CONSOLE: "), bad.getMessage());
             env.put("PROXY_CONSOLE", "nowhere");
             assertThrows(ProxyConfig.BadConfig.class, () -> ProxyConfig.read(env));
--- a/src/test/java/passhatch/proxy/LateConnectionsTest.java
+++ b/src/test/java/passhatch/proxy/LateConnectionsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import passhatch.Balancer.Actions;
-import passhatch.Logic;
+import passhatch.LeastLoadedBalancer;
 
 /**
  * A connection that comes up when its request is over. The loop stands still from the step in which it begins
@@ -60,7 +60,8 @@
 
     /** Starts a proxy whose loop stands still right after it began to connect for that send. */
     private void startHolding(int atSend) throws Exception {
-        rig.module((settings, seed, actions) -> new Logic(settings, seed, (Actions) Proxy.newProxyInstance(
+        rig.module((settings, seed, actions) ->
+                new LeastLoadedBalancer(settings, seed, (Actions) Proxy.newProxyInstance(
                 Actions.class.getClassLoader(), new Class<?>[] {Actions.class}, (self, method, args) -> {
                     try {
                         Object result = method.invoke(actions, args);
--- a/src/test/java/passhatch/proxy/ProxyServerTest.java
+++ b/src/test/java/passhatch/proxy/ProxyServerTest.java
@@ -79,7 +79,7 @@
     void isReadyOnlyOnceTheListIsIn() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         ProxyServer proxy = ProxyServer.start(ProxyConfig.read(rig.environment()), new EventLog(System.err),
-                passhatch.Logic::new);
+                passhatch.LeastLoadedBalancer::new);
         try (Http client = Http.to(proxy.address())) {
             client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
             assertEquals(503, client.read().status());
@@ -95,7 +95,7 @@
     void isReadyWhereNothingHasChanged() throws Exception {
         rig.lines.add("");
         ProxyServer proxy = ProxyServer.start(ProxyConfig.read(rig.environment()), new EventLog(System.err),
-                passhatch.Logic::new);
+                passhatch.LeastLoadedBalancer::new);
         try {
             Rig.awaitReady(proxy.address());
         } finally {
--- a/src/test/java/passhatch/proxy/RehearsalTest.java
+++ b/src/test/java/passhatch/proxy/RehearsalTest.java
@@ -59,8 +59,8 @@
         assertEquals(0, rehearsal.exitValue());
         assertTrue(Files.size(archive) > 0);
         String loaded = Files.readString(folder.resolve("loaded"));
-        for (String name : List.of("Logic", "proxy.ProxyLoop", "proxy.BackendPool", "proxy.ClientServer",
-                "proxy.Discovery", "proxy.HangUpSignal")) {
+        for (String name : List.of("LeastLoadedBalancer", "proxy.ProxyLoop", "proxy.BackendPool",
+                "proxy.ClientServer", "proxy.Discovery", "proxy.HangUpSignal")) {
             assertTrue(loaded.contains(" passhatch." + name + " "), name + " is not loaded in it");
         }
     }
--- a/src/test/java/passhatch/proxy/Rig.java
+++ b/src/test/java/passhatch/proxy/Rig.java
@@ -40,7 +40,7 @@
     private final AtomicLong aheadNs = new AtomicLong();
     /** Where the proxy's clock stands still, to be moved by the test alone; 0 where it runs. */
     private long stoodStillNs;
-    private ProxyServer.Module module = passhatch.Logic::new;
+    private ProxyServer.Module module = passhatch.LeastLoadedBalancer::new;
 
     /** What the script puts into {@link #lines} to end a watch. */
     static final String END_OF_WATCH = "end";
