--- a/src/main/java/passhatch/LeastLoadedBalancer.java
+++ b/src/main/java/passhatch/LeastLoadedBalancer.java
@@ -11,154 +11,264 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of the balancer. Its types, events and actions are in {@link Balancer} (Balancer.java).
+ * The decision module: a load balancer that sends each request to the least loaded server. It also decides
+ * when to retry, queue, hedge, refuse or give up a request, and when to eject a server. The types, events and
+ * actions are declared in {@link Balancer}.
  *
- * <p>The ordinary path: a server with none of this copy's own calls in flight first, else the fewest in
- * flight, the earliest assigned among equals; see {@link #isPreferred}. Everything else here is about
- * failures
- * and limits.
+ * <p>Normally a request goes to an idle server, else to the one with the fewest requests in flight, and among
+ * equals to the one assigned least recently; see {@link #isPreferred}. Load counts this replica's own
+ * requests, or those of all replicas where the server reported its load. The rest of the class handles
+ * failures and limits.
+ *
+ * <p>A {@link Call} is a request held by this replica. All times and durations are in microseconds, on the
+ * clock of the {@code nowUs} parameters. A time of {@link Long#MIN_VALUE} means never,
+ * {@link Long#MAX_VALUE} means that nothing is scheduled. Fields that hold means or fractions of the latest
+ * values are exponentially weighted moving averages.
  */
 public final class LeastLoadedBalancer implements Balancer {
 
-    /** Failures in a row after which a server rests: one may be chance, the second confirms it. */
+    /**
+     * Failed or reset connections in a row after which a server is ejected: one may be chance, the second
+     * confirms it.
+     */
     private static final int MAX_CONSECUTIVE_FAILURES = 2;
-    /** A streak of failures that comes by chance less often than this tells that the server is down. */
+    /**
+     * A server is taken to be down where a streak of failures as long as its own has less than this
+     * probability by chance, at the failure rate of the other servers.
+     */
     private static final double FAILURE_STREAK_SIGNIFICANCE = 0.001;
-    /** How long a server rests: a few tries a minute do no harm, and a restart takes some seconds. */
+    /**
+     * Duration of a first ejection, in microseconds: a few attempts a minute at a failed server do no harm,
+     * and a restart takes some seconds. Load reports found wrong are first ignored for this long, a server
+     * stays degraded for this long after a failure, and a latency sample counts as recent for this long.
+     */
     private static final long BASE_EJECTION_US = 3_000_000;
-    /** Calls to discovery that are tried within the time after which an unasked list counts as told. */
+    /**
+     * Calls to discovery that are tried within {@link Rules#maxDiscoveryIntervalUs}, after which the proxy is
+     * taken to know changes that it did not ask for.
+     */
     private static final int DISCOVERY_CALLS_PER_INTERVAL = 4;
-    /** Part of the whole that probes may cost over all tiers; where two a call are dearer, none is sent. */
+    /**
+     * Maximum cost of probes over all tiers, as a fraction of the value of all requests. No probes are sent
+     * where two for each request would cost more.
+     */
     private static final double MAX_PROBE_COST_FRACTION = 0.02;
-    /** Probes sent at a time before a call: one may be lost or slow, more than two would mostly be wasted. */
+    /** Probes sent at a time for a call: one may be lost or slow, and more than two are mostly wasted. */
     private static final int MAX_PROBES_PER_ROUND = 2;
-    /** While servers hold fewer calls than this on average, one probe at a time will mostly do. */
+    /** While servers report fewer calls in flight than this on average, one probe at a time is enough. */
     private static final double LIGHT_LOAD_IN_FLIGHT = 0.25;
-    /** Rounds of probes before a call takes the best server known. */
+    /** Rounds of probes for a call before it goes to the best server known. */
     private static final int MAX_PROBE_ROUNDS = 3;
-    /** A probe is worth waiting for while it takes no more than this part of the aim. */
+    /** Calls wait for probes only while a probe takes at most this fraction of their latency goal. */
     private static final double MAX_PROBE_FRACTION_OF_GOAL = 0.02;
-    /** An answer to a probe counts as overdue after this many times the usual. */
+    /**
+     * The response to a probe is overdue after this multiple of the mean time of probes. The report of an
+     * idle server is valid for as long. After a failed probe a server is degraded for this multiple of the
+     * typical service time.
+     */
     private static final double PROBE_OVERDUE_MULTIPLE = 3;
-    /** A report of a busy server holds for this part of a usual call, as most of that work is still to do. */
+    /**
+     * The report of a busy server is valid for this fraction of the typical service time of each call that
+     * it reported: most of that work is still to do then. A server that rejected a call as full counts as
+     * full for this fraction of one service time, and queued calls are checked as often.
+     */
     private static final double BUSY_REPORT_VALIDITY_FRACTION = 0.25;
-    /** Part of a call's work beyond the usual that counts: hints err, and not all time is work. */
+    /**
+     * Weight of a call's expected work in excess of the mean, and of its own work in its expected latency:
+     * cost hints may be wrong, and not all of the latency is work.
+     */
     private static final double EXPECTED_WORK_WEIGHT = 0.5;
-    /** Part of the time left that a call may be expected to take: the mean is far from the worst. */
+    /**
+     * A server that is not idle gets a call only where the expected latency is at most this fraction of the
+     * call's time left: the latency may be far above its mean.
+     */
     private static final double MAX_FRACTION_OF_TIME_LEFT = 0.36;
-    /** A call worth more may be expected to take up to so many times that part: the least is shed first. */
+    /**
+     * Calls of high value may be expected to take up to this multiple of that fraction, so that calls of the
+     * least value are shed first.
+     */
     private static final double MAX_PRIORITY_FACTOR = 2;
-    /** Calls that the copies sharing a server may always have there together: they keep some cores busy. */
+    /**
+     * Calls that all replicas sharing a server may together always have in flight there: they keep some of
+     * its cores busy.
+     */
     private static final double MIN_CONCURRENCY_PER_SERVER = 4;
-    /** More are sent while the next should take under so many times the calm time; 2 to 3 do alike. */
+    /**
+     * Beyond that number calls are sent only while the expected latency is at most this multiple of the
+     * latency without congestion.
+     */
     private static final double MAX_LATENCY_TO_BASELINE = 2.3;
-    /** Classes worth up to so many times the least are not favoured: they may be half of all traffic. */
+    /**
+     * Classes whose value is at most this multiple of the least value get no priority: they may be half of
+     * all traffic.
+     */
     private static final double PRIORITY_VALUE_RATIO = 4;
-    /** A server's turn comes at most this many times as seldom, or as often, as the usual one's. */
+    /** An idle server is assigned at most this many times as seldom, or as often, as a typical one. */
     private static final double MAX_SLOWDOWN = 20;
-    /** The part of what would push a cold server over that all copies together may send it. */
+    /** Fraction of the load that would overload a cold server that all replicas together may send to it. */
     private static final double SLOW_START_SAFETY_FACTOR = 0.5;
     /**
-     * A held call must have this multiple of a usual call left: sent at the last moment, half would be late.
+     * A queued call must have this multiple of a typical service time left: of calls sent with just one
+     * service time left, half would be late.
      */
     private static final double QUEUED_CALL_TIME_MULTIPLE = 1.4;
-    /** A rest is doubled at each further failure, so many times at most. */
+    /**
+     * Maximum number of times that an ejection, or the time for which load reports are ignored, is doubled;
+     * each further failure doubles it once.
+     */
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
-    /** A call counts as overdue after this many times the expected, as the times of calls spread widely. */
+    /** An attempt is overdue after this multiple of its expected latency, as latencies vary widely. */
     private static final double CALL_OVERDUE_MULTIPLE = 5;
-    /** Overdue attempts, or unanswered probes, in a row after which a server rests. */
+    /**
+     * Overdue attempts in a row after which a server is ejected. Overdue attempts and unanswered probes
+     * count as at most this many calls in flight when servers are compared.
+     */
     private static final int MAX_CONSECUTIVE_TIMEOUTS = 2;
-    /** Rounds by which the turn of a server in another zone is put off: near ones come first. */
+    /**
+     * Rounds ({@link #rotationUs}) by which the next turn of a server in another zone is delayed: local
+     * servers come first.
+     */
     private static final double OTHER_ZONE_DELAY_ROUNDS = 1;
-    /** Weight of the newest answer in a server's share of errors. */
+    /** Weight of the newest outcome, 0 to 1, in the moving averages of errors and of failed connects. */
     private static final double ERROR_EWMA_WEIGHT = 0.2;
-    /** Share of failed connections above which connected servers come first: one failure counts for ten. */
+    /**
+     * Fraction of failed connects above which connected servers are preferred. One failed connect keeps the
+     * average above it for the next ten outcomes.
+     */
     private static final double CONNECT_FAILURE_THRESHOLD = 0.02;
-    /** Share of errors above which a server may rest for it. */
+    /**
+     * Fraction of errors among its outcomes above which a server may be ejected. Above the same fraction of
+     * wrong load reports, all reports are ignored for a while.
+     */
     private static final double ERROR_RATE_THRESHOLD = 0.35;
-    /** And so many times the spread that its share has by chance: one streak in thousands passes it. */
+    /**
+     * To be ejected for errors, a server's error rate must also exceed the others' by this many standard
+     * deviations: one streak of errors in thousands does so by chance.
+     */
     private static final double ERROR_OUTLIER_DEVIATIONS = 4;
-    /** A slow server is tried again after this long at the latest, as it may have recovered. */
+    /**
+     * Longest delay of a slow server's next turn, in microseconds: it is tried again then, as it may have
+     * recovered.
+     */
     private static final double MAX_ASSIGNMENT_DELAY_US = 24_000_000;
-    /** The load of a server that turned a call away as full. */
+    /** Calls assumed to be in flight at a server that rejected a call as full. */
     private static final int FULL_SERVER_IN_FLIGHT = 1000;
     /**
-     * Copies that share a server, where only their own calls tell its load: they should see most of it. Three
-     * at most of 2.32 on the mean leave the room that subsets need to stay when a server changes.
+     * Mean number of replicas that share a server. Where a replica knows a server's load only from its own
+     * calls, few replicas must share it, so that each sees most of that load. At a mean of 2.32 a server gets
+     * at most three, which leaves room for subsets to stay as they are when a server changes.
      */
     private static final double REPLICAS_PER_SERVER = 2.32;
-    /** Servers in a copy's subset at least: with fewer, one that is slow or dead weighs too much. */
+    /** Minimum number of servers in a subset: with fewer, one that is slow or down weighs too much. */
     private static final int MIN_SUBSET_SIZE = 4;
-    /** The same where probes tell: enough to find an idle one, few enough to rank for each call. */
+    /**
+     * The same where servers report their load: enough to find an idle server, few enough to rank for each
+     * call.
+     */
     private static final int MIN_PROBED_SUBSET_SIZE = 24;
-    /** A server put back by hand is tried within this time, where any call may go there. */
+    /**
+     * A server that an operator enabled again gets its first call within this time, in microseconds, where
+     * any call may go there.
+     */
     private static final long MAX_REENABLED_DELAY_US = 2_000_000;
-    /** Queued calls of a class that are refused before the older ones are passed over. */
+    /** Queued calls of a class that may decline a server before the class's older calls are skipped. */
     private static final int MAX_DECLINED_OFFERS = 3;
 
-    /** Which servers are looked for: all, those known to be idle, those of which nothing is known. */
-    private enum CandidateFilter { HAS_CAPACITY, REPORTED_IDLE, NO_REPORT }
+    /** Which of the servers that a call may go to are considered for it. */
+    private enum CandidateFilter {
+        /** Those that are expected to answer the call in time. */
+        HAS_CAPACITY,
+        /** Those that reported just now that they are idle. */
+        REPORTED_IDLE,
+        /** Those without a valid load report and without a probe in flight. */
+        NO_REPORT
+    }
 
     private final Settings settings;
     private final Actions actions;
     private final OperatorLog operatorLog;
     private final SplittableRandom random;
+    /** Servers by id: those listed, and those not listed any more that still have calls in flight. */
     private final Map<String, ServerState> serversById = new HashMap<>();
+    /** The servers that are up by the latest list. */
     private final Set<ServerState> servers = new LinkedHashSet<>();
-    /** The subsets of the near servers and of the far ones. */
+    /**
+     * The subset of the local servers and that of servers in other zones. Where crossing zones has no price,
+     * all servers count as local.
+     */
     private final List<Subsetting> subsets;
     private final ServerNames serverNames = new ServerNames();
     private final ServerStarts serverStarts = new ServerStarts();
-    /** Whether a server in use now was put back by hand and not reached since. */
+    /** Whether a listed server was enabled by an operator and no call has reached it since. */
     private boolean anyReenabled;
+    /** Calls by the id of their request, from their arrival until their last attempt ends. */
     private final Map<String, Call> callsById = new HashMap<>();
+    /** Requests received so far; numbers them in the order of arrival. */
     private long requestCount;
-    /** Calls for which no server may be used now; aside, those that wait for probes. */
+    /** Calls for which no server has capacity now, and aside from these the calls that wait for probes. */
     private final CallQueue queue;
-    /** Servers asked for their load, the earliest asked first; some have answered since. */
+    /** Servers that were probed, the earliest probed first; some have responded since. */
     private final ArrayDeque<ServerState> probedServers = new ArrayDeque<>();
-    /** When all queued calls were last looked at, and when they are next. */
+    /** When all queued calls were last checked. */
     private long lastQueueCheckUs = Long.MIN_VALUE;
+    /** When all queued calls are checked next. */
     private long nextQueueCheckUs = Long.MIN_VALUE;
-    /** Attempts in the order of their sending, to find those overdue. */
+    /** Attempts whose request is complete, in the order of sending, to find those that are overdue. */
     private final ArrayDeque<Attempt> sentAttempts = new ArrayDeque<>();
-    /** Share of errors among all latest answers. */
+    /** Fraction of errors and resets among the latest responses of all servers. */
     private double overallErrorRate;
-    /** Share of reports that calls refuted; until when none is believed; and how often that came. */
+    /** Fraction of the latest reports of idle servers that the outcomes of calls proved wrong. */
     private double refutedReportRate;
+    /** Load reports are not used before this time. */
     private long reportsIgnoredUntilUs = Long.MIN_VALUE;
+    /** How often load reports were found wrong too often and ignored for a while. */
     private int reportDistrustPeriods;
-    /** Share of connections that could not be made among all latest outcomes. */
+    /** Fraction of failed connects among the latest outcomes of all servers. */
     private double connectFailureRate;
-    /** The shortest aim of all classes. */
+    /** The shortest latency goal of all classes, in microseconds. */
     private final double minLatencyGoalUs;
+    /** The least value of a request of any class. */
     private final double minValue;
     private final RetryBudget retryBudget = new RetryBudget();
     private final AttemptRules attemptRules;
+    /** The time of the earliest wake-up that is scheduled. */
     private long wakeAtUs = Long.MAX_VALUE;
+    /** Whether the first list of servers has been received. */
     private boolean listReceived;
+    /** Whether discovery is watched: a list has followed the first one, and no call has failed since. */
     private boolean watchingDiscovery;
+    /** When discovery is called next. */
     private long nextDiscoveryCallUs = Long.MAX_VALUE;
     private final DiscoveryBackoff discoveryBackoff;
-    /** Probes that the price allows for each call, and those saved up. */
+    /** Probes that their price allows for each call; 0 where no probes are sent. */
     private final double probesPerCall;
+    /** Probes that may be sent now: a token bucket that each request fills by {@link #probesPerCall}. */
     private double probeBalance;
+    /** Mean time until a probe is answered, in microseconds. */
     private double meanProbeUs;
-    /** Mean of the loads that probed servers reported: what a server not asked just now is taken to hold. */
+    /**
+     * Mean number of calls in flight that servers reported; assumed for servers without a valid report.
+     */
     private double meanReportedInFlight;
     private final LatencyEstimator latencyEstimator = new LatencyEstimator();
+    /** Mean expected work of requests that state it, in microseconds on a standard core. */
     private double meanExpectedWorkUs;
-    /** The time that clients give a first try. */
+    /** Time that the client of the latest first try allowed for it, in microseconds. */
     private double firstTryTimeoutUs;
     private final TenantQuotas tenantQuotas;
+    /** Mean time between two attempts of this replica, in microseconds; 0 while unknown. */
     private double meanSendIntervalUs;
     private long lastSendAtUs = Long.MIN_VALUE;
 
     /**
-     * A new copy, which knows no server yet.
+     * Creates a balancer that knows no server yet.
      *
+     * @param settings what the deployment allows and asks for
+     * @param seed seed of the random numbers that spread the decisions of the replicas
+     * @param actions what carries out the decisions; not null
      * @throws IllegalArgumentException where a setting is missing or contradicts another; it names the
      *     setting
+     * @throws NullPointerException where {@code actions} is null
      */
     public LeastLoadedBalancer(Settings settings, long seed, Actions actions) {
         SettingsCheck.check(settings);
@@ -215,6 +325,11 @@
         processDueWork(nowUs, null);
     }
 
+    /**
+     * Takes in an entry of a list of servers. A server with a new start time or zone is tracked as a new one.
+     *
+     * @param affected servers whose listing may have changed; the server is added to these
+     */
     private void updateServer(long nowUs, Server entry, Set<ServerState> affected) {
         ServerState server = serversById.get(entry.id());
         if (server != null) {
@@ -245,7 +360,7 @@
         server.up = true;
     }
 
-    /** Brings the subsets in line with what a list said of these servers. */
+    /** Updates the listed servers and the subsets after a list changed the state of these servers. */
     private void updateSubsets(long nowUs, Set<ServerState> affected) {
         affected.removeIf(server -> server.up == server.listed);
         for (ServerState server : affected) {
@@ -279,14 +394,17 @@
         }
     }
 
-    /** One that left with calls out is remembered until they end: it may return, and holds them still. */
+    /**
+     * Removes a server that is not listed any more once its last call ends. Until then it is kept, as it may
+     * be listed again and still has these calls in flight.
+     */
     private void removeIfUnused(ServerState server) {
         if (!server.listed && server.inFlight == 0) {
             serversById.remove(server.id, server);
         }
     }
 
-    /** Lets a server that was put back by hand have its first call soon. */
+    /** Makes a server that an operator enabled again eligible for its first call soon. */
     private void scheduleFirstCall(long nowUs, ServerState server) {
         server.eligibleFromUs = Math.min(server.eligibleFromUs,
                 nowUs + (long) (random.nextDouble() * MAX_REENABLED_DELAY_US));
@@ -295,8 +413,8 @@
     }
 
     /**
-     * A server that drains must not be kept up by idle connections: they are closed at the notice, and those
-     * in use then at the outcome that ends their use.
+     * Closes the idle connections to a draining server, which would keep it from shutting down. This happens
+     * when it starts to drain, and again at each outcome, for connections that were in use until then.
      */
     private void closeIdleConnections(String serverId) {
         if (settings.rules().closeWithinUs() > 0) {
@@ -305,9 +423,10 @@
     }
 
     /**
-     * A new server would be the earliest assigned at every copy at once. It takes the place in the round of
-     * one chosen at random, and while it is cold only a part of the copies use it: with many of them, a round
-     * of each takes so long that a wait measured in rounds would starve it.
+     * Gives a new server its place in the order of assignment. As the least recently assigned server it would
+     * get the next call of every replica at once, so it takes the place of another server chosen at random.
+     * While it is cold, only some replicas use it: with many replicas a round of each takes so long that a
+     * wait counted in rounds would leave the server without calls.
      */
     private void addToRotation(long nowUs, ServerState server) {
         List<ServerState> members = subsets.get(zoneDelayRounds(server) > 0 ? 1 : 0).members();
@@ -324,7 +443,7 @@
                 warmEnoughAtUs(server, random.nextDouble()));
     }
 
-    /** When a cold server will safely bear this part of a usual share. */
+    /** When a cold server is warm enough to take this fraction of a typical server's load safely. */
     private long warmEnoughAtUs(ServerState server, double loadFraction) {
         Rules rules = settings.rules();
         double capacityToGain = Math.min(1, loadFraction / (rules.tipMultiple() * SLOW_START_SAFETY_FACTOR))
@@ -333,7 +452,7 @@
                 + (long) (Math.max(0, capacityToGain) / (1 - rules.coldFrom()) * rules.coldUs());
     }
 
-    /** The share of its capacity that a server can be trusted to have by now. */
+    /** The fraction of its capacity, above 0 up to 1, that a server is expected to have during warm-up. */
     private double capacityFraction(ServerState server, long nowUs) {
         Rules rules = settings.rules();
         long ageUs = nowUs - server.warmUpStartUs;
@@ -344,9 +463,9 @@
     }
 
     /**
-     * Time between two turns of a cold server, in a round over all servers at this copy's pace. If every
-     * copy keeps it, the server gets no more than a safe part of what would push it over, taking it that a
-     * warm one can do at least what it is sent now.
+     * Time between two calls of this replica to a cold server (slow start); for a warm one the time of a
+     * round. If every replica keeps to it, the server gets no more than a safe fraction of the load that
+     * would overload it, assuming that a warm server can handle at least what it is sent now.
      */
     private double slowStartIntervalUs(ServerState server, long nowUs) {
         double safeFraction = capacityFraction(server, nowUs) * settings.rules().tipMultiple()
@@ -354,27 +473,34 @@
         return rotationUs(nowUs) * Math.max(1, 1 / safeFraction);
     }
 
-    /** Time in which this copy goes round all servers. */
+    /** Time of a round, in which this replica sends one call to each server of its subset. */
     private double rotationUs(long nowUs) {
         return (meanSendIntervalUs > 0 ? meanSendIntervalUs : settings.classes().get(0).latencyGoalUs())
                 * Math.max(1, subsetSize(nowUs));
     }
 
     /**
-     * How many servers this copy keeps to. Where many copies send to each server and no probe tells what the
-     * others sent, own calls in flight say nothing; and where a connection carries one call, those of many
-     * copies fill a server up, even idle. So each copy keeps to a few. Where probes tell, more are used, but
-     * not all of hundreds: ranking them for each call costs too much. For members out of use others stand in.
+     * How many servers this replica sends to. Each replica uses a few servers only: where many replicas send
+     * to a server and no load reports tell what the others sent, its own calls in flight say nothing about
+     * the server's load; and where a connection carries one call at a time, connections of many replicas,
+     * even idle ones, use up those that a server accepts. Where load reports are used, the subset is larger,
+     * but not all of hundreds of servers, as ranking them for each call costs too much. Other servers
+     * replace members that are not available.
      */
     private int subsetSize(long nowUs) {
         return usesLoadReports(nowUs) ? maxSubsetSize() : subsetSizeOfAtLeast(MIN_SUBSET_SIZE);
     }
 
+    /**
+     * The number of members that are assigned: the larger one where servers are probed and a connection
+     * carries several calls at a time.
+     */
     private int maxSubsetSize() {
         boolean usesReports = probesPerCall > 0 && settings.limits().callsPerConnection() > 1;
         return subsetSizeOfAtLeast(usesReports ? MIN_PROBED_SUBSET_SIZE : MIN_SUBSET_SIZE);
     }
 
+    /** The subset's size at {@link #REPLICAS_PER_SERVER}, but at least the given one; at most all servers. */
     private int subsetSizeOfAtLeast(int minSize) {
         int serverCount = servers.size();
         return (int) Math.min(serverCount,
@@ -382,8 +508,9 @@
     }
 
     /**
-     * How much longer than usual the server's calls take. Among idle servers all that is left of the order
-     * is the turn: were it kept by assignment alone, slow servers would get as many calls as fast ones.
+     * The server's service time as a multiple of the typical one; 1 where unknown. It delays the next turn of
+     * slow servers: idle servers are ordered by their last assignment only, and would otherwise get as many
+     * calls when slow as when fast.
      */
     private double relativeServiceTime(ServerState server) {
         return server.loadSum == 0 || latencyEstimator.serviceTimeUs == 0 ? 1
@@ -391,7 +518,10 @@
                         Math.max(1 / MAX_SLOWDOWN, server.serviceTimeUs() / latencyEstimator.serviceTimeUs));
     }
 
-    /** Where crossing zones has a price, servers of other zones come some rounds later. */
+    /**
+     * Rounds by which a server's next turn is delayed because it is in another zone; 0 for local servers, and
+     * for all servers where crossing zones has no price.
+     */
     private double zoneDelayRounds(ServerState server) {
         return settings.prices().crossZone() > 0 && server.zone != settings.zone()
                 ? OTHER_ZONE_DELAY_ROUNDS : 0;
@@ -421,7 +551,7 @@
         if (!request.clientRetry()) {
             firstTryTimeoutUs = request.timeLeftUs();
         } else if (Math.abs(request.timeLeftUs() - firstTryTimeoutUs) > settings.tickUs() * 10) {
-            // The aim counts from the first try, and a last try has all that is left of the client's time.
+            // The latency goal counts from the first try; a last try has all the rest of the client's time.
             maxUsefulLatencyUs -= requestClass.deadlineUs() - request.timeLeftUs();
         }
         Call call = new Call(request, requestClass, requestCount++, nowUs, maxUsefulLatencyUs, relativeWork);
@@ -433,8 +563,9 @@
     }
 
     /**
-     * Whether a request lies beyond its tenant's share, by this copy's part of the quota. It earns little,
-     * so while no server is idle it makes room for others. Below the first tier work was done for it before.
+     * Whether a request exceeds its tenant's quota, by this replica's part of it. Such a request has little
+     * value and is given up while no server is idle, to leave room for others. This applies only in the first
+     * tier: in later ones work was already done for the request.
      */
     private boolean exceedsQuota(long nowUs, int tenant) {
         return settings.tier() == 0 && settings.overQuotaValueFraction() < 1
@@ -443,7 +574,7 @@
                         settings.tenants().get(tenant).quotaPerSecond() / settings.replicas());
     }
 
-    /** Sends the call to the server whose turn it is, or lets it wait for one. */
+    /** Sends the call to the best server, queues it until one has capacity, or gives it up. */
     private void dispatch(long nowUs, Call call) {
         queue.remove(call);
         if (hasTooLittleTime(nowUs, call)) {
@@ -476,9 +607,10 @@
     }
 
     /**
-     * Whether the call first waits for probes. With few own calls in flight every server looks idle, those
-     * that serve other copies' calls, stall or crawl as well: so the next in turn are asked, and the first
-     * found idle is taken. Acts where probes are cheap and quick.
+     * Probes servers for a call before it is sent, and returns whether the call must wait for responses.
+     * Where this replica has few calls in flight, every server looks idle to it, also one that serves other
+     * replicas' calls, stalls or is very slow. So the next servers in turn are probed, and the first that
+     * reports to be idle gets the call. Used only where probes are cheap and quick.
      */
     private boolean probeBeforeSending(long nowUs, Call call) {
         if (!usesLoadReports(nowUs)
@@ -506,6 +638,7 @@
         return probesSent > 0;
     }
 
+    /** Whether a probe is in flight that is not overdue; forgets those that have ended or are overdue. */
     private boolean hasProbeInFlight(long nowUs) {
         while (!probedServers.isEmpty() && (probedServers.peek().probeSentAtUs == Long.MIN_VALUE
                 || nowUs - probedServers.peek().probeSentAtUs
@@ -515,6 +648,7 @@
         return !probedServers.isEmpty();
     }
 
+    /** Sends an attempt of the call to the server and determines when the server's next turn is. */
     private void send(long nowUs, Call call, ServerState server) {
         if (lastSendAtUs != Long.MIN_VALUE) {
             long intervalUs = nowUs - lastSendAtUs;
@@ -542,7 +676,10 @@
         actions.send(call.request.id(), server.id, call.deadlineUs - nowUs);
     }
 
-    /** Notes when an attempt is overdue, counted from the last byte of its request. */
+    /**
+     * Schedules the check for an overdue attempt, counted from the last byte of its request. There is none
+     * while the typical service time is unknown.
+     */
     private void scheduleOverdueCheck(long nowUs, Attempt attempt) {
         if (latencyEstimator.serviceTimeUs > 0) {
             attempt.overdueAtUs = nowUs
@@ -581,9 +718,9 @@
     }
 
     /**
-     * The server whose turn it is among those of the subset that this call may use and that are wanted. Where
-     * all near ones are too crowded or slow for it, the far subset follows: traffic that moves to one zone
-     * must not be refused while others have room.
+     * The best server of the subset that this call may use and that passes the filter; null where there is
+     * none. If no local server has capacity, those of other zones are considered: traffic that moves to one
+     * zone must not be refused while other zones have capacity.
      */
     private ServerState pickServer(long nowUs, Call call, CandidateFilter filter) {
         ServerState best = null;
@@ -606,7 +743,7 @@
                 }
             }
         }
-        // Whoever put a server back looks for its first call, so it comes in addition to the subset.
+        // An operator who enabled a server expects calls there, so it is considered outside the subset, too.
         for (ServerState server : anyReenabled ? servers : Set.<ServerState>of()) {
             if (server.reenabled && isAvailableFor(nowUs, call, server)) {
                 best = betterCandidate(nowUs, call, filter, server, best);
@@ -615,7 +752,9 @@
         return best;
     }
 
-    /** The better of a server, where it is one that is wanted, and the best so far, if any. */
+    /**
+     * The better one of a server, if it passes the filter, and the best server so far, which may be null.
+     */
     private ServerState betterCandidate(long nowUs, Call call, CandidateFilter filter, ServerState server,
             ServerState best) {
         boolean matches = switch (filter) {
@@ -626,20 +765,24 @@
         return matches && (best == null || isPreferred(nowUs, server, best)) ? server : best;
     }
 
+    /** Whether the server has just reported that it is idle, and is not degraded. */
     private boolean isReportedIdle(long nowUs, ServerState server) {
         return server.reportValidUntilUs > nowUs && knownInFlight(nowUs, server) == 0
                 && !isDegraded(nowUs, server);
     }
 
+    /** Whether the server is expected to answer the call in time without being overloaded by it. */
     private boolean hasCapacityFor(long nowUs, Call call, ServerState server) {
-        // Classes that may take longer must not fill the servers up for the others, unless they are worth
-        // more. Those worth far more may also crowd a server further, so that under overload the room of the
-        // least worth ends first; were they most of the traffic, they would choke it.
+        // Classes with a long latency goal must not use up the capacity of the others unless their value is
+        // higher. Classes of a far higher value may also load a server further, so that under overload those
+        // of the least value run out of capacity first. Where such classes were most of the traffic, they
+        // would overload the servers.
         double valueRatio = minValue > 0 ? call.requestClass.value() / minValue : 1;
         double priority = Math.max(1, Math.min(valueRatio / PRIORITY_VALUE_RATIO, MAX_PRIORITY_FACTOR));
         double allowedUs = Math.min((call.usefulUntilUs - nowUs) * priority, minLatencyGoalUs * valueRatio);
-        // An idle server is never too slow for long: it would not be seen to recover. Where
-        // only own calls tell, others may crowd one that looks idle, so its last calls count for a while.
+        // An idle server must get a call now and then, however slow it was, or its recovery would go
+        // unnoticed. Without load reports a server that looks idle may be loaded by other replicas, so the
+        // latency of its last calls counts for a while.
         boolean idle = estimatedInFlight(nowUs, server) == 0
                 && (usesLoadReports(nowUs) || !hasRecentLatencySample(nowUs, server));
         double expectedLatencyUs = expectedLatencyUs(nowUs, call, server);
@@ -648,12 +791,13 @@
     }
 
     /**
-     * Whether one more call would only lengthen the server's queue. The aim may leave room for many calls,
-     * yet where they take far longer than when all was calm, a longer queue serves none sooner, and some
-     * servers turn slower once crowded and stay so. Such calls wait here, where they can still go to the
-     * server that is free first. Where a server's cores share the work, times stay near the calm one and
-     * nothing is held. A general slowness from below looks the same: then a copy keeps to its first calls at
-     * each server.
+     * Whether one more call would only lengthen the server's queue. The latency goal may leave time for many
+     * calls, but where latency is far above that without congestion, a longer queue serves none of them
+     * sooner, and some servers become slower under overload and stay so. Such calls are queued here, from
+     * where they can still go to the first server that has capacity. Where the calls run in parallel on a
+     * server's cores, latency stays near the baseline and no call is queued. If all servers are slow because
+     * a tier behind them is slow, this cannot be told from congestion: then each replica sends only the
+     * first calls ({@link #MIN_CONCURRENCY_PER_SERVER}) to a server.
      */
     private boolean isServerCongested(long nowUs, ServerState server, double expectedLatencyUs) {
         double replicasPerServer = Math.max(1,
@@ -663,19 +807,20 @@
                 && expectedLatencyUs > latencyEstimator.baselineLatencyUs * MAX_LATENCY_TO_BASELINE;
     }
 
-    /** Whether a call to the server ended so lately that its time still counts. */
+    /** Whether a call to the server ended so recently that its latency still counts. */
     private static boolean hasRecentLatencySample(long nowUs, ServerState server) {
         return server.lastLatencySampleUs != Long.MIN_VALUE
                 && nowUs - server.lastLatencySampleUs < BASE_EJECTION_US;
     }
 
+    /** Whether the server is available now and the call may be sent to it. */
     private static boolean isAvailableFor(long nowUs, Call call, ServerState server) {
         return server.isAvailable(nowUs) && AttemptRules.isEligible(call, server);
     }
 
     /**
-     * How long the server will take over this call. One too crowded or slow to answer in time counts as
-     * resting for it: late work is wasted and keeps the crowd from clearing.
+     * How long the server is expected to take for this call. A server too loaded or slow to answer in time
+     * does not get the call: late work is wasted and prolongs the overload.
      */
     private double expectedLatencyUs(long nowUs, Call call, ServerState server) {
         double typicalServiceTimeUs = latencyEstimator.serviceTimeUs / capacityFraction(server, nowUs);
@@ -685,28 +830,33 @@
         return serviceTimeUs * (estimatedInFlight(nowUs, server) + call.relativeWork * EXPECTED_WORK_WEIGHT);
     }
 
-    /** Calls in flight: this copy's own, or all copies' where the server said so just now. */
+    /** Calls in flight at the server: this replica's own, or those of all replicas by a valid report. */
     private static int knownInFlight(long nowUs, ServerState server) {
         return server.reportValidUntilUs > nowUs
                 ? Math.max(server.inFlight, server.reportedInFlight) : server.inFlight;
     }
 
+    /** The same, but without a valid report at least the mean of what servers reported. */
     private int estimatedInFlight(long nowUs, ServerState server) {
         return server.reportValidUntilUs > nowUs ? knownInFlight(nowUs, server)
                 : Math.max(server.inFlight, (int) meanReportedInFlight);
     }
 
+    /** Whether no server can be expected to answer the call while the response is still useful. */
     private boolean hasTooLittleTime(long nowUs, Call call) {
         return nowUs + minLatencyUs(call) > call.usefulUntilUs || nowUs >= call.usefulUntilUs;
     }
 
-    /** The least that this call can be hoped to take. */
+    /** The lowest latency to be expected for this call, in microseconds. */
     private double minLatencyUs(Call call) {
         return (call.wasQueued ? latencyEstimator.serviceTimeUs * QUEUED_CALL_TIME_MULTIPLE
                 : latencyEstimator.lowServiceTimeUs) * call.relativeWork;
     }
 
-    /** Idle servers in use come first, then the fewest calls in flight; of equals the earliest assigned. */
+    /**
+     * Whether a server is preferred to another. Idle servers that are not degraded come first, then those
+     * with the fewest calls in flight; among equals the one that was assigned least recently.
+     */
     private boolean isPreferred(long nowUs, ServerState server, ServerState other) {
         int serverLoad = knownInFlight(nowUs, server);
         int otherLoad = knownInFlight(nowUs, other);
@@ -715,8 +865,8 @@
         if (serverIdle != otherIdle) {
             return serverIdle;
         }
-        // A server cut off from this copy holds none of its calls; it must not draw all that find others
-        // busy.
+        // A server that cannot be reached from here has no calls in flight; it must not attract every call
+        // that finds the other servers busy.
         serverLoad += Math.min(MAX_CONSECUTIVE_TIMEOUTS, server.unansweredProbes + server.consecutiveTimeouts)
                 + (isSuspected(nowUs, server) ? 1 : 0);
         otherLoad += Math.min(MAX_CONSECUTIVE_TIMEOUTS, other.unansweredProbes + other.consecutiveTimeouts)
@@ -730,8 +880,9 @@
     }
 
     /**
-     * A server that owes an answer to a probe is demoted too: it was asked first, so its turn is the next,
-     * and the call that asked would go to the one that stalls or is cut off.
+     * Whether a server is chosen only if all others are busy. This includes a server whose response to a
+     * probe is overdue: it was probed because its turn was next, so the call that waited for the probe would
+     * go to it, although it stalls or cannot be reached.
      */
     private boolean isDegraded(long nowUs, ServerState server) {
         return server.degradedUntilUs > nowUs || isSuspected(nowUs, server)
@@ -740,17 +891,19 @@
     }
 
     /**
-     * Whether a call there might need a connection while those fail. Where servers take few, answer slowly to
-     * new ones or are cut off, calls do best at servers that this copy is connected to. They come first then,
-     * and even with a call more. It saves connections for other copies too. One dead server sets it off for
-     * some calls; were it to act always, each copy would keep to a few servers without need.
+     * Whether a server is suspected to be unreachable: a call there might need a new connection while
+     * connects fail. Where servers accept few connections, are slow to accept them or cannot be reached,
+     * calls do best at servers to which this replica is connected. These are preferred then, even with one
+     * more call in flight, which also leaves connections for other replicas. One server that is down causes
+     * this for some calls. It does not apply at all times, as each replica would keep to a few servers
+     * without need.
      */
     private boolean isSuspected(long nowUs, ServerState server) {
         return connectFailureRate > CONNECT_FAILURE_THRESHOLD && server.inFlight == 0
                 && server.lastConnectedUs <= nowUs - settings.limits().keepaliveUs();
     }
 
-    /** Whether the call may be sent once more, after its attempts so far. */
+    /** Whether the call may be sent once more after its attempts so far. */
     private boolean mayRetry(long nowUs, Call call) {
         return attemptRules.reasonNotToRetry(nowUs, call) == null;
     }
@@ -816,9 +969,10 @@
     }
 
     /**
-     * Where servers that had just called themselves idle turn calls away as full or leave them unanswered,
-     * reports are old: believed, they send the calls of all copies to those that were idle a while ago. So
-     * for a time this copy goes by its own calls alone.
+     * Records whether the outcome of a call proved a report of an idle server wrong. If servers that have
+     * just reported to be idle reject calls as full or do not respond in time, the reports are stale, and
+     * using them would send the calls of all replicas to the servers that were idle a while ago. So this
+     * replica then ignores load reports for a time and counts its own calls only.
      */
     private void recordReportAccuracy(long nowUs, boolean refuted) {
         refutedReportRate += ERROR_EWMA_WEIGHT * ((refuted ? 1 : 0) - refutedReportRate);
@@ -829,15 +983,15 @@
         }
     }
 
-    /** Whether probes tell what servers hold. */
+    /** Whether servers are probed for their load and their reports are used now. */
     private boolean usesLoadReports(long nowUs) {
         return probesPerCall > 0 && reportsIgnoredUntilUs <= nowUs;
     }
 
     /**
-     * Rests a server that errs far more than the others, or breaks their connections: answering at once, it
-     * always looks idle and draws ever more calls. Errors that all show alike come from a tier below and rest
-     * none.
+     * Updates the error rates and ejects a server that returns errors or resets connections far more often
+     * than the others: as it responds at once, it always looks idle and attracts ever more calls. Errors that
+     * all servers return alike come from a tier behind them and eject none.
      */
     private void updateErrorRate(long nowUs, ServerState server, boolean error) {
         server.errorRate += ERROR_EWMA_WEIGHT * ((error ? 1 : 0) - server.errorRate);
@@ -850,14 +1004,14 @@
                     + (BASE_EJECTION_US << Math.min(server.errorEjections++, MAX_BACKOFF_DOUBLINGS));
             server.errorRate = ERROR_RATE_THRESHOLD;
             operatorLog.warn(nowUs, server.id,
-                    " rests: it errs or breaks connections far more often than others");
+                    " is ejected: it returns errors or resets connections far more often than others");
         }
     }
 
     /**
-     * Whether a server errs more than a streak by chance explains, where the others err as they do. Where
-     * all break one connection in eight, two breaks in a row come every few seconds: were those enough, one
-     * server or another would always rest, and the others would be crowded.
+     * Whether a server's error rate is too high to be a streak by chance at the error rate of the others.
+     * Where every server resets one connection in eight, two resets in a row occur every few seconds: if that
+     * were enough, some server would always be ejected, and the others would be overloaded.
      */
     private boolean isErrorOutlier(ServerState server) {
         double otherErrorRates = -server.errorRate;
@@ -871,10 +1025,11 @@
     }
 
     /**
-     * Keeps the tally of failures. A connection that breaks had come up, so the server may well be alive: it
-     * is demoted, but rests only once a connect to it fails too. Where a server breaks far more of them than
-     * the others do, it rests as one that errs: breaks that all show alike come from the way there, and were
-     * they to rest servers, none would be left. So it is with connections that come up late at all of them.
+     * Records an outcome and ejects a server to which connects fail. A connection that was reset had been
+     * established, so the server may well be running: it is degraded, but ejected only once a connect to it
+     * fails too. A server that resets far more connections than the others is ejected for errors instead.
+     * Resets that occur at all servers alike come from the network: if they ejected servers, none would be
+     * left. The same holds for connections that are established late at all servers.
      */
     private void recordOutcome(long nowUs, ServerState server, Outcome outcome) {
         if (outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.RESET) {
@@ -905,15 +1060,19 @@
     }
 
     /**
-     * The share of failed or broken connections at the other servers. Of these only the ones count that the
-     * latest call reached: where many are down at once, it must not pass for what is usual.
+     * The fraction of failed connects and resets at the other servers; 0 where there are none. Only servers
+     * that their latest call reached count: if many servers are down at once, their failures must not count
+     * as the normal rate.
      */
     private double meanConnectionFailureRateOfOthers(ServerState server) {
         return servers.stream().filter(other -> other != server && other.lastConnectedUs != Long.MIN_VALUE)
                 .mapToDouble(other -> other.connectionFailureRate).average().orElse(0);
     }
 
-    /** After an attempt that brought no answer: another server if that is allowed and can be afforded. */
+    /**
+     * Retries a call whose attempt brought no response if the rules and the retry budget allow it, else gives
+     * it up. A retry after an attempt that never ran is free.
+     */
     private void retryOrGiveUp(long nowUs, Call call, Outcome outcome) {
         double cost = outcome.provesNotRun ? 0 : 1;
         GiveUpReason reasonNotToRetry = outcome == Outcome.REJECTED ? GiveUpReason.REJECTED
@@ -929,14 +1088,14 @@
         }
     }
 
-    /** The final answer where no server gave one: a refusal where the client may come again. */
+    /** Ends a call without a server's response: refused where the client may safely retry, else failed. */
     private void giveUp(long nowUs, Call call, GiveUpReason reason) {
         call.ended = true;
         actions.reportGiveUp(call.request.id(), reason);
         boolean hasTimeLeft = nowUs + minLatencyUs(call) < call.usefulUntilUs;
         long retryAfterUs = settings.limits().maxRetryAfterUs();
         if (AttemptRules.mayRefuse(call) && (hasTimeLeft || retryAfterUs > 0)) {
-            // A client told nothing would use up its tries within milliseconds.
+            // Without this advice a client would use up its retries within milliseconds.
             long shortRetryAfterUs = Math.min((long) latencyEstimator.serviceTimeUs, retryAfterUs);
             actions.refuse(call.request.id(), hasTimeLeft ? shortRetryAfterUs : retryAfterUs);
         } else {
@@ -945,6 +1104,7 @@
         removeIfUnused(call);
     }
 
+    /** Removes a call that has ended once its last attempt has ended. */
     private void removeIfUnused(Call call) {
         if (call.ended && call.attemptsInFlight == 0) {
             callsById.remove(call.request.id());
@@ -956,7 +1116,7 @@
             long elapsedUs) {
         Call call = callsById.get(requestId);
         if (call != null && attemptNumber < call.attempts.size() && !call.ended) {
-            // The attempt is the client's now, and its outcome will end the call. No other is of any use.
+            // The client receives this attempt's response, so the call ends with it; others are useless now.
             call.committedAttempt = call.attempts.get(attemptNumber);
             call.ended = true;
             cancelOtherAttempts(call);
@@ -975,6 +1135,7 @@
         }
     }
 
+    /** Takes a call out of the queue and cancels its attempts in flight except the committed one. */
     private void cancelOtherAttempts(Call call) {
         queue.remove(call);
         for (int attemptNumber = 0; attemptNumber < call.attempts.size() && settings.limits().cancel();
@@ -986,7 +1147,7 @@
         }
     }
 
-    // ---- servers out by hand
+    // ---- servers disabled by an operator
 
     @Override
     public boolean knows(String serverId) {
@@ -1001,9 +1162,9 @@
             if (server != null) {
                 server.disabled = true;
             }
-            // It may be restarted now: what is kept open to it would be found dead by the first calls after.
+            // The server may be restarted now; the first calls after that would fail on idle connections.
             actions.closeIdle(serverId);
-            actions.log(serverId + " is out by hand");
+            actions.log(serverId + " was disabled by an operator: it gets no new requests");
         }
     }
 
@@ -1012,7 +1173,7 @@
         if (!serverNames.disabled.remove(serverId)) {
             return;
         }
-        actions.log(serverId + " is back by hand");
+        actions.log(serverId + " was enabled by an operator: it gets requests again");
         serverNames.reenabled.add(serverId);
         ServerState server = serversById.get(serverId);
         if (server != null) {
@@ -1038,17 +1199,18 @@
         return new ServerCounts(serverNames.listed.size(), serverNames.listed.size() - (int) available);
     }
 
-    // ---- servers that do not answer
+    // ---- servers that do not respond
 
     /**
-     * An attempt is overdue: its server may hang, with connections that stand and probes that are answered.
-     * It is demoted, and rests if that happens again with no answer between.
+     * Records an overdue attempt: its server may hang although connections to it stay open and it answers
+     * probes. It is degraded, and ejected if that happens again without a successful response in between.
      */
     private void recordTimeout(long nowUs, ServerState server) {
         server.consecutiveTimeouts++;
         server.degradedUntilUs = nowUs + BASE_EJECTION_US;
         if (probesPerCall == 0) {
-            // A copy with few calls comes round less often than that: the next turn would come as usual.
+            // At a low rate of calls a round takes longer than the server stays degraded, so its next turn
+            // would come as usual.
             long delayUs =
                     (long) Math.min(rotationUs(nowUs) * CALL_OVERDUE_MULTIPLE, MAX_ASSIGNMENT_DELAY_US);
             server.lastAssignedVirtualUs = Math.max(server.lastAssignedVirtualUs, nowUs + delayUs);
@@ -1057,11 +1219,14 @@
             server.ejectedUntilUs = nowUs
                     + (BASE_EJECTION_US << Math.min(
                             server.consecutiveTimeouts - MAX_CONSECUTIVE_TIMEOUTS, MAX_BACKOFF_DOUBLINGS));
-            operatorLog.warn(nowUs, server.id, " rests: calls to it stay unanswered");
+            operatorLog.warn(nowUs, server.id, " is ejected: requests to it get no response in time");
         }
     }
 
-    /** Sends an overdue call elsewhere too: its answer may never come, and a late one earns nothing. */
+    /**
+     * Sends a hedged attempt of an overdue call to another server: the response may never come, and a late
+     * one has no value.
+     */
     private void hedge(long nowUs, Call call) {
         boolean mayHedge = settings.limits().hedging() && !call.ended && retryBudget.canAfford(1)
                 && mayRetry(nowUs, call);
@@ -1072,7 +1237,10 @@
         }
     }
 
-    /** Whether half of the servers stay in use if one more rests: no false alarm may rest them all. */
+    /**
+     * Whether at least half of the servers stay available if one more is ejected, so that false alarms cannot
+     * eject all of them.
+     */
     private boolean canEjectAnother(long nowUs) {
         long available = servers.stream().filter(server -> server.isAvailable(nowUs)).count();
         return (available - 1) * 2 >= servers.size();
@@ -1092,7 +1260,8 @@
             meanReportedInFlight += LatencyEstimator.EWMA_WEIGHT
                     * (server.reportedInFlight - meanReportedInFlight);
             if (server.reportedInFlight > 0) {
-                // Else servers never idle would be asked first each time, and pass for all others.
+                // Otherwise servers that are never idle would be probed first for each call, and their load
+                // would be taken for that of all servers.
                 server.lastAssignedVirtualUs = Math.max(server.lastAssignedVirtualUs, nowUs);
             }
             server.reportValidUntilUs = nowUs + (long) (server.reportedInFlight > 0
@@ -1122,6 +1291,7 @@
         processDueWork(nowUs, null);
     }
 
+    /** Asks for a timer event at this time, unless an earlier one is scheduled. */
     private void scheduleWakeUp(long atUs) {
         if (atUs < wakeAtUs) {
             wakeAtUs = atUs;
@@ -1129,14 +1299,17 @@
         }
     }
 
-    /** When the next server that rests or enters may be used, and the usual pace of looks at the latest. */
+    /**
+     * When all queued calls are to be checked next: when the next ejected or new server becomes available or
+     * a load report expires, and at the latest after the regular interval.
+     */
     private long queueCheckDueUs(long nowUs) {
         return servers.stream().mapToLong(server -> server.nextStateChangeUs(nowUs))
                 .reduce(nowUs + (long) (latencyEstimator.serviceTimeUs * BUSY_REPORT_VALIDITY_FRACTION)
                         + settings.tickUs(), Math::min);
     }
 
-    /** Offers a server that changed to the queued calls. */
+    /** Offers a server whose state changed to the queued calls. */
     private void offerToQueue(long nowUs, ServerState server) {
         queue.offer(MAX_DECLINED_OFFERS,
                 requestClass -> server.isAvailable(nowUs)
@@ -1146,7 +1319,10 @@
                 call -> dispatch(nowUs, call));
     }
 
-    /** Looks at all queued calls: time, a list or what is usual now may have made them usable or hopeless. */
+    /**
+     * Checks all queued calls: with time, a new list or new estimates of latency, a server may have capacity
+     * for them, or they may have too little time left.
+     */
     private void checkQueue(long nowUs) {
         queue.all(call -> hasTooLittleTime(nowUs, call)).forEach(call -> dispatch(nowUs, call));
         servers.stream().filter(server -> server.nextStateChangeUs(lastQueueCheckUs) <= nowUs)
@@ -1157,7 +1333,11 @@
         nextQueueCheckUs = queueCheckDueUs(nowUs);
     }
 
-    /** Does what has become due, and offers the server that an event freed or changed, if any. */
+    /**
+     * Does all work that is due: calls discovery, handles overdue attempts and dispatches queued calls.
+     *
+     * @param changedServer the server whose state an event changed, which is offered to queued calls; or null
+     */
     private void processDueWork(long nowUs, ServerState changedServer) {
         if (nextDiscoveryCallUs <= nowUs && !watchingDiscovery) {
             nextDiscoveryCallUs = Long.MAX_VALUE;
@@ -1182,7 +1362,7 @@
             return;
         }
         for (Call call : queue.aside()) {
-            // As long as a probe is out, only a server that is found idle is of use to them.
+            // While a probe is in flight, these calls go only to a server that has reported to be idle.
             if (!usesLoadReports(nowUs) || !hasProbeInFlight(nowUs)
                     || changedServer != null && isReportedIdle(nowUs, changedServer)) {
                 dispatch(nowUs, call);
