--- a/src/test/java/passhatch/LogicTest.java
+++ b/src/test/java/passhatch/LogicTest.java
@@ -29,7 +29,10 @@
 import passhatch.Balancer.Server;
 import passhatch.Balancer.ServerStatus;
 
-/** The decisions, driven by hand through a fake of the actions. */
+/**
+ * Tests of the decision module on its own. {@link Proxy} stands in for the network: it reports events to the
+ * module, records the actions that the module requests, and advances virtual time only when a test does.
+ */
 class LogicTest {
 
     private static final long MS = Proxy.MS;
@@ -38,7 +41,7 @@
         return new Proxy.Setup();
     }
 
-    /** The ordinary path. */
+    /** The choice among servers that are all healthy. */
     @Nested
     class ServerSelection {
 
@@ -97,7 +100,7 @@
                         true, null);
             }
             assertTrue(requestsByServer.get("a") * 1.4 < requestsByServer.get("b"),
-                    "turns: " + requestsByServer);
+                    "requests by server: " + requestsByServer);
         }
 
         @Test
@@ -114,7 +117,7 @@
         }
     }
 
-    /** Demotion, rest and waiting. */
+    /** Failing servers are degraded, then ejected; calls are queued while no server is available. */
     @Nested
     class Ejection {
 
@@ -153,7 +156,7 @@
 
         @Test
         void ejectionsGrowLongerWithEachFurtherFailure() {
-            // A server whose connections are all taken would be crowded further by ever more tries.
+            // A server that has no connection left would be overloaded further by frequent attempts.
             Proxy proxy = new Proxy(setup()).with("a");
             long[] ejectionsUs = new long[2];
             for (int i = 0; i < 5; i++) {
@@ -168,7 +171,8 @@
                 }
                 proxy.end(request, Outcome.CONNECT_FAILED);
             }
-            assertTrue(ejectionsUs[1] > ejectionsUs[0] * 3 / 2, ejectionsUs[0] + " then " + ejectionsUs[1]);
+            assertTrue(ejectionsUs[1] > ejectionsUs[0] * 3 / 2,
+                    ejectionsUs[0] + " us of ejection were followed by, in us, " + ejectionsUs[1]);
         }
 
         @Test
@@ -193,7 +197,7 @@
 
         @Test
         void aServerWithFarMoreErrorsThanTheOthersIsEjected() {
-            // A server that errs at once is always idle: it would draw ever more calls.
+            // A server that returns errors at once always looks idle and would attract ever more calls.
             Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
             int errors = 0;
             for (int i = 0; i < 200; i++) {
@@ -203,12 +207,13 @@
                 errors += isFaulty ? 1 : 0;
                 proxy.end(request, isFaulty ? Outcome.ERROR : Outcome.OK);
             }
-            assertTrue(errors < 12, "errors: " + errors);
+            assertTrue(errors < 12, "calls sent to the server that returns errors: " + errors);
         }
 
         @Test
         void similarErrorRatesEjectNoServer() {
-            // A failing tier below shows as errors at every server: resting them would only add to the harm.
+            // Errors at every server come from a failing tier behind them; ejecting servers would only remove
+            // capacity.
             Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
                 String request = proxy.request(Proxy.UNSAFE);
@@ -220,34 +225,46 @@
 
         @Test
         void similarResetRatesEjectNoServer() {
-            // They had come up, so the servers live: were these to rest, calls would wait with none in use.
+            // The connections had been established, so the servers are alive. Ejecting all of them would
+            // leave calls waiting without any server.
             Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
                 String request = proxy.request(Proxy.UNSAFE);
-                assertNotNull(proxy.at(request), "call " + i + " waits");
+                assertNotNull(proxy.at(request), "call " + i + " was not sent");
                 proxy.pass(20);
                 proxy.end(request, i % 10 < 3 ? Outcome.RESET : Outcome.OK);
             }
         }
 
-        /** Two in a row come by chance every few seconds where one in eight breaks or is late. */
+        /**
+         * Where one connection in eight breaks or comes up too late at every server, two consecutive failures
+         * at one server occur by chance every few seconds. They must hardly ever eject it.
+         */
         @ParameterizedTest
         @CsvSource({"RESET, 0.03", "CONNECT_FAILED, 0.2"})
         void similarConnectionFailureRatesRarelyEjectAServer(Outcome failure, double maxFraction) {
             double fraction = fractionOfRequestsWithAnEjectedServer(1.0 / 8, failure);
-            assertTrue(fraction < maxFraction, "part with a server resting: " + fraction);
+            assertTrue(fraction < maxFraction, "fraction of requests with an ejected server: " + fraction);
         }
 
-        /** One that fails most connects is demoted too, and gets few calls that could show it. */
+        /**
+         * A server to which most connects fail is degraded as well, so it gets few calls that could show its
+         * failure rate; hence the lower bound for {@code CONNECT_FAILED}.
+         */
         @ParameterizedTest
         @CsvSource({"RESET, 0.5", "CONNECT_FAILED, 0.25"})
         void aServerThatBreaksMostConnectionsIsEjectedThoughOthersBreakSome(Outcome failure,
                 double minFraction) {
             double fraction = fractionOfRequestsWithAnEjectedServer(0.9, failure);
-            assertTrue(fraction > minFraction, "part with a server resting: " + fraction);
+            assertTrue(fraction > minFraction, "fraction of requests with an ejected server: " + fraction);
         }
 
-        /** Where one server breaks this part of the connections and the others one in eight. */
+        /**
+         * Returns the fraction of 4,000 requests at which some server was ejected.
+         *
+         * @param failureRateOfA fraction of the calls to server a that fail; at the others one in eight does
+         * @param failure the outcome of calls that fail
+         */
         private double fractionOfRequestsWithAnEjectedServer(double failureRateOfA, Outcome failure) {
             Random random = new Random(11);
             Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
@@ -276,12 +293,13 @@
                 lostCalls += isFaulty ? 1 : 0;
                 proxy.end(request, isFaulty ? Outcome.RESET : Outcome.OK);
             }
-            assertTrue(lostCalls < 12, "calls lost: " + lostCalls);
+            assertTrue(lostCalls < 12, "calls lost to the faulty server: " + lostCalls);
         }
 
         @Test
         void aServerThatDoesNotRespondIsEjected() {
-            // Connections stand and probes are answered, yet no call is: only overdue calls tell.
+            // A hung server keeps its connections and answers probes but no calls: only overdue calls
+            // show it.
             Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 8; i++) {
                 proxy.serve();
@@ -298,11 +316,11 @@
                     proxy.end(request, Outcome.OK);
                 }
             }
-            assertTrue(lostCalls <= 3, "calls lost: " + lostCalls);
+            assertTrue(lostCalls <= 3, "calls lost to the faulty server: " + lostCalls);
         }
     }
 
-    /** Rule 1: one final answer in time, and nothing after it. */
+    /** Each request gets exactly one final response, in time, and nothing is done for it afterwards. */
     @Nested
     class SingleFinalResponse {
 
@@ -362,7 +380,7 @@
         }
     }
 
-    /** Rule 2: no effect twice. */
+    /** No request takes effect twice; retries and attempts are limited. */
     @Nested
     class RetrySafety {
 
@@ -393,7 +411,10 @@
             assertEquals(1, proxy.count("send " + request));
         }
 
-        /** However long its first attempt is overdue; once that has ended there is no copy of it out. */
+        /**
+         * Without hedging, a call whose first attempt is overdue gets no second one until the first has
+         * ended; then it is retried as usual.
+         */
         @Test
         void withoutHedgingACallHasOneAttemptInFlightAtATime() {
             for (int requestClass : new int[] {Proxy.SAFE, Proxy.KEYED}) {
@@ -412,7 +433,8 @@
                 proxy.serve();
                 request = proxy.request(requestClass);
                 proxy.pass(500);
-                assertTrue(proxy.count("send " + request) >= 2, "else an overdue one gets a second");
+                assertTrue(proxy.count("send " + request) >= 2,
+                        "with hedging, an overdue call gets a second attempt");
             }
         }
 
@@ -451,7 +473,8 @@
                 }
                 proxy.pass(20);
             }
-            assertTrue(proxy.count("send") <= 100 + 5 + 10, "sends: " + proxy.count("send"));
+            assertTrue(proxy.count("send") <= 100 + 5 + 10,
+                    "attempts sent for 100 requests: " + proxy.count("send"));
         }
 
         @Test
@@ -465,15 +488,20 @@
         }
     }
 
-    /** Rule 5: a class bound to zones or machine kinds goes nowhere else. */
+    /** A class restricted to zones or machine types is never sent to any other server. */
     @Nested
     class Placement {
 
+        /** Index of the restricted class, which follows the four usual classes. */
         private static final int RESTRICTED_CLASS = 4;
 
+        /**
+         * Returns a proxy with servers a and b in zone 0, c and d in zone 1; a and c are of machine type 0,
+         * b and d of type 1. A null restriction allows all zones or machine types.
+         */
         private Proxy proxyWithRestrictedClass(Set<Integer> allowedZones, Set<Integer> allowedMachineTypes) {
             Proxy.Setup setup = setup();
-            setup.more = List.of(new RequestClass("bound", 400 * MS, 1_000 * MS, 1, 0, Effect.SAFE,
+            setup.more = List.of(new RequestClass("restricted", 400 * MS, 1_000 * MS, 1, 0, Effect.SAFE,
                     DedupScope.ALL, 0, allowedZones, allowedMachineTypes));
             Proxy proxy = new Proxy(setup);
             proxy.logic.serversChanged(proxy.now, ListKind.CACHED, List.of(
@@ -529,7 +557,7 @@
         }
     }
 
-    /** Rule 3: drains are kept, and the list is followed. */
+    /** Draining servers get nothing new, and the server list of discovery is followed. */
     @Nested
     class DrainingAndDiscovery {
 
@@ -548,6 +576,7 @@
             }
         }
 
+        /** Returns a proxy that must close idle connections to a draining server within 1 s. */
         private Proxy proxyThatClosesIdleConnections() {
             Proxy.Setup setup = setup();
             setup.closeWithinUs = 1_000 * MS;
@@ -570,7 +599,8 @@
                     ServerStatus.UP)));
             proxy.pass(100);
             proxy.end(requestToA, Outcome.OK);
-            assertEquals(2, proxy.count("close a"), "not closed once its last call ended");
+            assertEquals(2, proxy.count("close a"),
+                    "idle connections were not closed after the last call ended");
         }
 
         @Test
@@ -596,7 +626,7 @@
             proxy.change(server, 0, ServerStatus.UP);
             Set<String> taken = new HashSet<>(List.of(proxy.at(proxy.request(Proxy.SAFE)),
                     proxy.at(proxy.request(Proxy.SAFE))));
-            assertFalse(taken.contains(server), "passed for idle with a call out");
+            assertFalse(taken.contains(server), "taken for idle with a call in flight");
         }
 
         @Test
@@ -613,9 +643,10 @@
                     proxy.pass(10);
                 }
                 backoffUs = proxy.now - failedAtUs;
-                assertTrue(backoffUs < 8_000 * MS, "pause " + backoffUs);
+                assertTrue(backoffUs < 8_000 * MS,
+                        "pause before discovery was called again, in us: " + backoffUs);
             }
-            assertTrue(backoffUs > 500 * MS, "pause " + backoffUs);
+            assertTrue(backoffUs > 500 * MS, "pause before discovery was called again, in us: " + backoffUs);
         }
 
         @Test
@@ -626,12 +657,13 @@
         }
     }
 
-    /** Lists of hundreds, and events that come twice, late or for servers not listed. */
+    /** Lists of hundreds of servers, and events that come twice, late or for servers not listed. */
     @Nested
     class LargeServerLists {
 
         private static final int SERVER_COUNT = 300;
 
+        /** Returns the last of 400 replicas, with 300 servers listed. */
         private Proxy proxyWithManyServers(boolean probes) {
             Proxy.Setup setup = setup();
             setup.copies = 400;
@@ -654,7 +686,8 @@
                 proxy.change(server, proxy.now, ServerStatus.UP);
                 proxy.change(server, 0, ServerStatus.UP);
                 proxy.sayIdle();
-                assertEquals(server, proxy.at(queued), "the only server left");
+                assertEquals(server, proxy.at(queued),
+                        "the queued call was not sent to the only server left");
                 proxy.pass(2_000);
             }
         }
@@ -669,7 +702,8 @@
             proxy.logic.outcome(proxy.now, "never", 3, "nowhere", Outcome.OK, 1, true, null);
             proxy.logic.probeResult(proxy.now, "nowhere", Outcome.TIMEOUT, 1, null);
             proxy.logic.clientGone(proxy.now, request);
-            assertEquals(actionsBefore, proxy.done.size(), "acted on what it does not hold");
+            assertEquals(actionsBefore, proxy.done.size(),
+                    "acted on an event for an ended or unknown request");
         }
 
         @Test
@@ -683,15 +717,22 @@
             for (int i = 0; i < 20; i++) {
                 String server = proxy.serve();
                 assertNotNull(server);
-                assertFalse(subset.contains(server), server + " is gone");
+                assertFalse(subset.contains(server), server + " is gone but was sent a request");
             }
         }
     }
 
-    /** Reports that come seconds late send all copies to servers that were idle a while ago. */
+    /**
+     * Load reports that arrive seconds late send the calls of all replicas to servers that were idle when the
+     * reports were made.
+     */
     @Nested
     class StaleLoadReports {
 
+        /**
+         * Returns a proxy after five calls, each to a server that had reported to be idle and each with this
+         * outcome.
+         */
         private Proxy proxyAfterCallsToIdleServers(Outcome outcome) {
             Proxy.Setup setup = setup();
             setup.probes = true;
@@ -710,11 +751,13 @@
         void ignoresLoadReportsForAWhileWhenIdleServersTurnOutFull() {
             Proxy proxy = proxyAfterCallsToIdleServers(Outcome.FULL);
             int probesBefore = proxy.count("probe");
-            assertNotNull(proxy.at(proxy.request(Proxy.SAFE)), "sent without asking");
+            assertNotNull(proxy.at(proxy.request(Proxy.SAFE)),
+                    "the call was not sent at once, without a probe");
             assertEquals(probesBefore, proxy.count("probe"));
             proxy.pass(4_000);
             proxy.request(Proxy.SAFE);
-            assertTrue(proxy.count("probe") > probesBefore, "asks again after a while");
+            assertTrue(proxy.count("probe") > probesBefore,
+                    "no probe was sent once load reports were trusted again");
         }
 
         @Test
@@ -727,7 +770,10 @@
         }
     }
 
-    /** Where only own calls tell, other copies may crowd a server that looks idle to this one. */
+    /**
+     * Without probes a replica knows only its own calls: a server that looks idle to it may be overloaded by
+     * other replicas.
+     */
     @Nested
     class LoadFromOtherReplicas {
 
@@ -739,12 +785,18 @@
                 proxy.pass(390);
                 proxy.logic.outcome(proxy.now, request, 0, "a", Outcome.OK, 390 * MS, true, null);
             }
-            assertNull(proxy.at(proxy.request(Proxy.SAFE)), "sent to a server that others crowd");
+            assertNull(proxy.at(proxy.request(Proxy.SAFE)), "sent to a server that other replicas overload");
             proxy.pass(4_000);
-            assertEquals("a", proxy.at(proxy.request(Proxy.SAFE)), "or it would never be seen to recover");
+            assertEquals("a", proxy.at(proxy.request(Proxy.SAFE)),
+                    "the server was not tried again, so its recovery would go unnoticed");
         }
 
-        /** Serves calls one by one in 20 ms each, then more that take this long; then come three at once. */
+        /**
+         * Returns how many of three simultaneous calls are sent at once, to a single server that first served
+         * 20 calls one by one in 20 ms each and then 40 calls in {@code laterLatencyMs} each.
+         *
+         * @param replicas replicas that send to the server, this one included
+         */
         private int sentOfThreeCallsAfter(long laterLatencyMs, int replicas) {
             Proxy.Setup setup = setup();
             setup.copies = replicas;
@@ -764,21 +816,25 @@
 
         @Test
         void callsWaitInTheProxyWhileLatencyIsFarAboveTheBaseline() {
-            assertEquals(3, sentOfThreeCallsAfter(20, 3), "no time was lost with others there");
-            assertEquals(2, sentOfThreeCallsAfter(80, 3), "the aim has room for more, the server has not");
+            assertEquals(3, sentOfThreeCallsAfter(20, 3),
+                    "the latency is at its baseline, so all three are sent");
+            assertEquals(2, sentOfThreeCallsAfter(80, 3),
+                    "the latency goal would allow all three, but the server is overloaded");
         }
 
         @Test
         void moreReplicasPerServerMeanFewerCallsFromEachWhileItIsOverloaded() {
             assertEquals(3, sentOfThreeCallsAfter(20, 8));
-            assertEquals(1, sentOfThreeCallsAfter(80, 8), "each of eight copies with two would be a crowd");
+            assertEquals(1, sentOfThreeCallsAfter(80, 8),
+                    "two calls from each of eight replicas would overload the server");
         }
     }
 
-    /** Lines for the operator. */
+    /** Log lines for the operator. */
     @Nested
     class OperatorLogLines {
 
+        /** Returns the lines that the module logged so far. */
         private List<String> logLines(Proxy proxy) {
             return proxy.done.stream().filter(line -> line.startsWith("log ")).map(line -> line.substring(4))
                     .toList();
@@ -794,7 +850,7 @@
             }
             assertEquals(List.of("a rests: connections to it fail"), logLines(proxy));
             proxy.request(Proxy.UNSAFE);
-            assertEquals(1, logLines(proxy).size(), "one line in ten seconds");
+            assertEquals(1, logLines(proxy).size(), "at most one line is logged in ten seconds");
             proxy.pass(10_000);
             proxy.logic.serversChanged(proxy.now, ListKind.FULL, List.of());
             proxy.request(Proxy.UNSAFE);
@@ -805,10 +861,14 @@
         }
     }
 
-    /** Connections that cannot be made, though the servers live. */
+    /** New connections fail although the servers are alive. */
     @Nested
     class FailingConnections {
 
+        /**
+         * Returns the servers used after a connect failure to which this replica had made no connection
+         * before.
+         */
         private Set<String> unconnectedServersUsedAfterAFailure(long keepaliveUs) {
             Proxy.Setup setup = setup();
             setup.keepaliveUs = keepaliveUs;
@@ -861,12 +921,13 @@
         }
     }
 
-    /** Many copies that cannot see each other's calls keep to a part of the servers each. */
+    /** Many replicas that do not know of each other's calls use a subset of the servers each. */
     @Nested
     class Subsets {
 
         private static final int SERVER_COUNT = 60;
 
+        /** Returns the servers that one of 60 replicas uses for 120 calls, with 60 servers listed. */
         private Set<String> usedServers(int replicaIndex, int callsPerConnection, boolean probes) {
             Proxy.Setup setup = setup();
             setup.probes = probes;
@@ -886,10 +947,10 @@
             assertTrue(usedServers(5, 1, false).size() < SERVER_COUNT / 4,
                     "servers used: " + usedServers(5, 1, false));
             assertTrue(usedServers(5, 100, false).size() < SERVER_COUNT / 4,
-                    "other copies' calls are not seen");
+                    "the subset must stay small where the calls of other replicas are unknown");
             int usedWithProbes = usedServers(5, 100, true).size();
             assertTrue(usedWithProbes > SERVER_COUNT / 3 && usedWithProbes < SERVER_COUNT / 2,
-                    "where probes tell more are used: " + usedWithProbes);
+                    "servers used with probes: " + usedWithProbes);
         }
 
         @Test
@@ -903,7 +964,7 @@
                 Proxy proxy = new Proxy(setup, replicaIndex).with(serverIds(SERVER_COUNT));
                 Set<String> first = Set.of(proxy.serve(), proxy.serve());
                 assertEquals(Set.of(serverIds(SERVER_COUNT)[0], serverIds(SERVER_COUNT)[1]), first,
-                        "not the two of its own zone");
+                        "the first two calls did not go to the two servers of its own zone");
             }
         }
 
@@ -919,7 +980,8 @@
             }
             proxy.logic.serversChanged(proxy.now, ListKind.CACHED, servers);
             for (int i = 0; i < 30; i++) {
-                assertTrue(Integer.parseInt(proxy.serve().substring(1)) < 6, "left its zone without need");
+                assertTrue(Integer.parseInt(proxy.serve().substring(1)) < 6,
+                        "sent to another zone while its own was idle");
             }
             Set<String> usedInOtherZone = new HashSet<>();
             for (int i = 0; i < 30; i++) {
@@ -928,7 +990,7 @@
                     usedInOtherZone.add(server);
                 }
             }
-            assertEquals(4, usedInOtherZone.size(), "far servers used: " + usedInOtherZone);
+            assertEquals(4, usedInOtherZone.size(), "servers used in the other zone: " + usedInOtherZone);
         }
 
         @Test
@@ -942,7 +1004,7 @@
             double mean = replicasByServer.values().stream().mapToInt(replicas -> replicas).average()
                     .orElseThrow();
             assertTrue(Collections.max(replicasByServer.values()) <= 1.3 * mean,
-                    "copies by server: " + replicasByServer);
+                    "replicas by server: " + replicasByServer);
             assertTrue(Collections.min(replicasByServer.values()) >= Math.floor(0.7 * mean),
                     "by server: " + replicasByServer);
         }
@@ -970,12 +1032,14 @@
             for (int i = 0; i < 10 * before.size(); i++) {
                 after.add(proxy.serve());
             }
-            assertEquals(before.size(), after.size(), "as many others stand in: " + after);
+            assertEquals(before.size(), after.size(),
+                    "not as many other servers replace the subset: " + after);
             after.removeAll(before);
-            assertEquals(before.size(), after.size(), "all of the subset rest, and none of them is used");
+            assertEquals(before.size(), after.size(), "an ejected server of the subset was used");
         }
     }
 
+    /** Returns this many server ids, in the form of an address and port. */
     private static String[] serverIds(int count) {
         String[] ids = new String[count];
         for (int i = 0; i < count; i++) {
@@ -984,7 +1048,10 @@
         return ids;
     }
 
-    /** Rule 4: a cold server gets a paced share that holds for all copies together. */
+    /**
+     * A server that has just started gets a limited share of the calls, which rises while it warms up and
+     * holds for all replicas together.
+     */
     @Nested
     class SlowStart {
 
@@ -1004,9 +1071,10 @@
                     callsToWarmServers += server.equals("new") ? 0 : 1;
                 }
             }
-            assertTrue(callsToNewServer > 0, "a cold server must get some work");
+            assertTrue(callsToNewServer > 0, "a new server got no calls");
             assertTrue(callsToNewServer < 0.6 * callsToWarmServers / 4,
-                    callsToNewServer + " calls cold, " + callsToWarmServers / 4 + " to each warm server");
+                    callsToNewServer + " calls to the new server, " + callsToWarmServers / 4
+                    + " to each warm one");
         }
 
         @Test
@@ -1021,10 +1089,16 @@
                 replicasUsingNewServer += "new".equals(proxy.serve()) ? 1 : 0;
             }
             assertTrue(replicasUsingNewServer < 12,
-                    replicasUsingNewServer + " of 40 copies took the new server first");
+                    replicasUsingNewServer + " of 40 replicas sent their next call to the new server");
         }
 
-        /** Of many copies that call seldom, how many send one of their next calls to a new server. */
+        /**
+         * Returns how many of 200 replicas, each of which makes a call a second, send one of their next calls
+         * to a new server.
+         *
+         * @param serverAgeMs time since the new server started and was listed
+         * @param callsPerReplica number of next calls of each replica to consider
+         */
         private int replicasThatUseANewServer(long serverAgeMs, int callsPerReplica) {
             int replicasUsingNewServer = 0;
             for (int replicaIndex = 0; replicaIndex < 200; replicaIndex++) {
@@ -1052,17 +1126,18 @@
         void onlySomeReplicasUseANewServerDuringSlowStart() {
             int usingItForNextCall = replicasThatUseANewServer(0, 1);
             assertTrue(usingItForNextCall < 20,
-                    usingItForNextCall + " of 200 copies sent their next call to it");
-            // A quarter of its capacity, sent half of twice that at most.
+                    usingItForNextCall + " of 200 replicas sent their next call to the new server");
+            // The new server starts with a quarter of its capacity. It falls over when sent more than twice
+            // that, and all replicas together send it at most half of what would make it fall over.
             int usingItDuringSlowStart = replicasThatUseANewServer(0, 21);
             assertTrue(usingItDuringSlowStart > 20 && usingItDuringSlowStart < 80,
-                    usingItDuringSlowStart + " of 200 copies use it at its start");
+                    usingItDuringSlowStart + " of 200 replicas use the new server at its start");
         }
 
         @Test
         void allReplicasUseAWarmServerHoweverSeldomTheyCall() {
-            // At full size a round of one copy takes a minute: waits of a round or two starved new servers,
-            // and a deploy left all work to the last of the old ones.
+            // In a full-size fleet one replica takes a minute to use each server once. Waiting for one or two
+            // such rounds starved new servers, and a deploy left all work to the last old servers.
             assertEquals(200, replicasThatUseANewServer(8_000, 21));
         }
 
@@ -1081,10 +1156,11 @@
         }
     }
 
-    /** The exceptions to the ordinary path. */
+    /** Probes for load, and which calls are sent, queued or refused under overload. */
     @Nested
     class ProbingAndOverload {
 
+        /** Returns a setup in which servers may be probed for their load. */
         private Proxy.Setup setupWithProbes() {
             Proxy.Setup setup = setup();
             setup.probes = true;
@@ -1109,9 +1185,8 @@
 
         @Test
         void aServerThatIsNeverIdleIsNotProbedFirstEachTime() {
-            // Hung servers keep their backlog and were never assigned: each call asked them first, and the
-            // load they
-            // reported passed for that of all others, until nothing was sent any more.
+            // Hung servers keep their backlog and are never assigned a call. If each call probed them first,
+            // the load they report would be taken for that of all others, until nothing was sent any more.
             Proxy proxy = new Proxy(setupWithProbes()).with("a", "b", "c", "d", "e", "f", "g", "h");
             for (int i = 0; i < 60; i++) {
                 int nextAction = proxy.done.size();
@@ -1130,12 +1205,12 @@
                 proxy.pass(500);
             }
             assertTrue(proxy.count("probe a") + proxy.count("probe b") < 45,
-                    "asked in vain: " + proxy.count("probe a"));
+                    "probes of the busy server a: " + proxy.count("probe a"));
         }
 
         @Test
         void probesOneServerAtATimeUnderLightLoad() {
-            // Two probes for each call cost quiet days more than the second one ever found.
+            // Under light load a second probe for each call costs more than it gains.
             Proxy proxy = new Proxy(setupWithProbes()).with("a", "b", "c", "d");
             String request = proxy.request(Proxy.SAFE);
             assertEquals(1, proxy.count("probe"));
@@ -1145,7 +1220,7 @@
             assertEquals(probed, proxy.at(request));
         }
 
-        /** A copy that has seen some calls served, each of its probes answered idle. */
+        /** Returns a proxy after twelve served calls, all of whose probes were answered as idle. */
         private Proxy proxyAfterServedCalls(String... servers) {
             Proxy proxy = new Proxy(setupWithProbes()).with(servers);
             for (int i = 0; i < 12; i++) {
@@ -1164,7 +1239,13 @@
             return proxy;
         }
 
-        /** Answers the probes sent since a line of the record, but none of the servers that are cut off. */
+        /**
+         * Answers the recorded probes, except those to unreachable servers.
+         *
+         * @param firstAction index of the first recorded action to consider
+         * @param inFlight the load that the servers report
+         * @param unreachable ids of the servers that do not answer, separated by spaces
+         */
         private void answerProbes(Proxy proxy, int firstAction, int inFlight, String unreachable) {
             for (int i = firstAction; i < proxy.done.size(); i++) {
                 String[] words = proxy.done.get(i).split(" ");
@@ -1176,7 +1257,8 @@
 
         @Test
         void aServerWithAnUnansweredProbeIsNotTakenNext() {
-            // It was asked first because its turn was next; the call went to just the one that kept silent.
+            // The server that is next in order is probed first. If it does not answer, the call must not be
+            // sent to it for being next.
             Proxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
             int actionsBefore = proxy.done.size();
             String request = proxy.request(Proxy.SAFE);
@@ -1188,8 +1270,9 @@
 
         @Test
         void serversWithUnansweredProbesComeAfterBusyOnes() {
-            // In a zone cut off from the others more than half of the servers are out of reach, so not all
-            // rest; they drew each call that found the servers in reach busy.
+            // In a zone cut off from the others more than half of the servers are unreachable. Not all of
+            // them are ejected, as half of the servers must stay available; the rest would look idle and
+            // attract each call that finds the reachable servers busy.
             Proxy proxy = proxyAfterServedCalls("a", "b", "c");
             for (String unreachable : List.of("a", "b", "a", "b")) {
                 proxy.logic.probeResult(proxy.now, unreachable, Outcome.TIMEOUT, 50 * MS, null);
@@ -1207,8 +1290,8 @@
 
         @Test
         void theNewestQueuedCallGoesFirstAndNoneThatWouldProbablyBeLate() {
-            // Under overload each call waited its turn to be sent at the last moment, and most answers were
-            // late.
+            // Sent in the order of arrival, under overload each call would be sent at the last moment and
+            // most responses would be late.
             Proxy proxy = new Proxy(setup()).with("a");
             for (int i = 0; i < 12; i++) {
                 proxy.serve();
@@ -1219,7 +1302,7 @@
                 String request = proxy.request(Proxy.SAFE);
                 (proxy.at(request) == null ? queued : sent).add(request);
             }
-            assertTrue(queued.size() > 1, "held: " + queued);
+            assertTrue(queued.size() > 1, "queued: " + queued);
             proxy.pass(100);
             proxy.end(sent.get(0), Outcome.OK);
             String newest = queued.get(queued.size() - 1);
@@ -1256,7 +1339,8 @@
 
         @Test
         void sendsNothingThatCouldNotBeAnsweredInTime() {
-            // Every copy's queue of late work kept the whole tier busy with answers that came past the aim.
+            // Queues of late work at every replica would keep the whole tier busy with responses that miss
+            // the latency goal.
             Proxy proxy = new Proxy(setup()).with("a", "b");
             for (int i = 0; i < 10; i++) {
                 proxy.serve();
@@ -1273,7 +1357,8 @@
 
         @Test
         void overQuotaRequestsAreRefusedWhileNoServerIsIdle() {
-            // Under overload those that earn little took the place of those within their share.
+            // Under overload, over-quota requests, which have little value, would displace those within
+            // quota.
             Proxy.Setup setup = setup();
             setup.quota = 10;
             Proxy proxy = new Proxy(setup).with("a", "b");
@@ -1282,22 +1367,25 @@
             }
             for (int i = 0; i < 60; i++) {
                 String request = proxy.request(Proxy.SAFE, 1);
-                assertNotNull(proxy.at(request), "an idle server takes all");
+                assertNotNull(proxy.at(request), "an over-quota request must be sent while a server is idle");
                 proxy.pass(1);
                 proxy.end(request, Outcome.OK);
             }
             proxy.request(Proxy.SAFE);
             proxy.request(Proxy.SAFE);
             String overQuota = proxy.request(Proxy.SAFE, 1);
-            assertTrue(proxy.did("refuse " + overQuota), "no server is idle");
-            assertNotNull(proxy.at(proxy.request(Proxy.SAFE)), "others come as before");
+            assertTrue(proxy.did("refuse " + overQuota),
+                    "an over-quota request was not refused although no server is idle");
+            assertNotNull(proxy.at(proxy.request(Proxy.SAFE)),
+                    "requests of a tenant without a quota must still be sent");
             proxy.pass(10_000);
             proxy.request(Proxy.SAFE);
             proxy.request(Proxy.SAFE);
-            assertNotNull(proxy.at(proxy.request(Proxy.SAFE, 1)), "after a pause there is share again");
+            assertNotNull(proxy.at(proxy.request(Proxy.SAFE, 1)),
+                    "after a pause the tenant is within its quota again");
         }
 
-        /** How many calls of a class are sent at once to two servers, after some were served. */
+        /** Returns how many of 40 simultaneous calls are sent to two servers that served 30 calls before. */
         private int sentAtOnce(Proxy.Setup setup, int requestClass) {
             Proxy proxy = new Proxy(setup).with("a", "b");
             for (int i = 0; i < 30; i++) {
@@ -1312,7 +1400,7 @@
         @Test
         void aMoreValuableCallIsSentWhereTheLeastValuableMustWait() {
             Proxy.Setup setup = setup();
-            setup.more = List.of(new RequestClass("dear", 400 * MS, 1_000 * MS, 10, 0, Effect.SAFE,
+            setup.more = List.of(new RequestClass("valuable", 400 * MS, 1_000 * MS, 10, 0, Effect.SAFE,
                     DedupScope.ALL, 0));
             Proxy proxy = new Proxy(setup).with("a");
             for (int i = 0; i < 20; i++) {
@@ -1322,18 +1410,19 @@
             for (int i = 0; i < 20 && proxy.at(lastRequest) != null; i++) {
                 lastRequest = proxy.request(Proxy.SAFE);
             }
-            assertNull(proxy.at(lastRequest), "the least worth crowds without end");
-            assertNotNull(proxy.at(proxy.request(4)), "shed together with the least worth");
+            assertNull(proxy.at(lastRequest), "calls of the least valuable class are sent without limit");
+            assertNotNull(proxy.at(proxy.request(4)),
+                    "a more valuable call was queued like the least valuable ones");
         }
 
         @Test
         void classesWithALongerGoalDoNotDisplaceOthersUnlessMoreValuable() {
-            // Calls with more time filled all servers until nothing was left for those with less, and the
-            // servers choked.
+            // Calls with a longer latency goal would fill all servers until none had room for those with a
+            // shorter one, and the servers would be overloaded.
             Proxy.Setup setup = setup();
             setup.more = List.of(
                     new RequestClass("long", 800 * MS, 1_000 * MS, 1, 0, Effect.SAFE, DedupScope.ALL, 0),
-                    new RequestClass("dear", 800 * MS, 1_000 * MS, 2, 0, Effect.SAFE, DedupScope.ALL, 0));
+                    new RequestClass("valuable", 800 * MS, 1_000 * MS, 2, 0, Effect.SAFE, DedupScope.ALL, 0));
             int sentWithUsualGoal = sentAtOnce(setup, Proxy.SAFE);
             assertEquals(sentWithUsualGoal, sentAtOnce(setup, 4));
             assertTrue(sentAtOnce(setup, 5) > sentWithUsualGoal);
@@ -1341,8 +1430,9 @@
 
         @Test
         void aLastRetryWhoseLatencyGoalHasPassedIsNotSent() {
-            // A last try has all that is left of the client's time, which tells when the first one came; work
-            // for answers that were long late went on under overload.
+            // The time left of a client's last try is all that is left of its deadline, which shows when its
+            // first try was made. Without this check, overloaded servers would work on responses that miss
+            // the latency goal by far.
             Proxy proxy = new Proxy(setup()).with("a", "b");
             for (int i = 0; i < 12; i++) {
                 proxy.serve();
@@ -1353,16 +1443,17 @@
             proxy.logic.request(proxy.now, new Request("soon", Proxy.SAFE, 0, 900 * MS, 0, true));
             proxy.logic.request(proxy.now, new Request("late", Proxy.SAFE, 0, 500 * MS, 0, true));
             assertNotNull(proxy.at("first"));
-            assertNotNull(proxy.at("again"), "a full try tells nothing of the first one");
-            assertNotNull(proxy.at("soon"), "100 of 400 ms have passed");
-            assertNull(proxy.at("late"), "500 of 400 ms have passed");
+            assertNotNull(proxy.at("again"),
+                    "a retry with the time of a first try does not show when that one was made");
+            assertNotNull(proxy.at("soon"), "100 of the 400 ms of the latency goal have passed");
+            assertNull(proxy.at("late"), "500 ms have passed, more than the latency goal of 400 ms");
             assertTrue(proxy.did("fail late") || proxy.did("refuse late"));
         }
 
         @Test
         void anOverdueCallDelaysItsServersNextUseBeyondItsDegradation() {
-            // Copies with few calls came round less often than a demotion lasts, so choked servers kept their
-            // full part of the calls.
+            // A replica with few calls uses each server less often than a degradation lasts. If nothing else
+            // delayed the next use, overloaded servers would keep their full share of the calls.
             Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d", "e", "f");
             for (int i = 0; i < 12; i++) {
                 proxy.serve();
@@ -1374,7 +1465,7 @@
             proxy.end(overdueRequest, Outcome.OK);
             proxy.pass(3_000);
             for (int i = 0; i < 8; i++) {
-                assertNotEquals(slowServer, proxy.serve(), "call " + i + " afterwards");
+                assertNotEquals(slowServer, proxy.serve(), "call " + i + " after the overdue one");
                 proxy.pass(700);
             }
         }
@@ -1399,7 +1490,7 @@
                 }
             }
             assertTrue(proxy.count("send") - sentBefore > 100,
-                    "sent afterwards: " + (proxy.count("send") - sentBefore));
+                    "calls sent after the slow period: " + (proxy.count("send") - sentBefore));
         }
     }
 
@@ -1417,13 +1508,16 @@
         assertFalse(new Proxy(setup()).did("anything"));
     }
 
-    /** Calls that wait are looked at when what they wait for changes. */
+    /** Queued calls are reconsidered once a server becomes available to them or their time runs short. */
     @Nested
     class QueuedCalls {
 
+        /** Index of the first class added to the four usual ones. */
         private static final int FIRST_ADDED_CLASS = 4;
+        /** Index of the second class added to the four usual ones. */
         private static final int SECOND_ADDED_CLASS = 5;
 
+        /** Returns a proxy with four servers that have their full capacity at once when they start. */
         private Proxy proxyWithoutSlowStart(RequestClass... addedClasses) {
             Proxy.Setup setup = setup();
             setup.coldFrom = 1;
@@ -1432,7 +1526,7 @@
         }
 
         private RequestClass requestClass(Effect effect, DedupScope dedupScope, Set<Integer> allowedZones) {
-            return new RequestClass("k", 400 * MS, 1_000 * MS, 1, 0, effect, dedupScope, 600 * MS,
+            return new RequestClass("added", 400 * MS, 1_000 * MS, 1, 0, effect, dedupScope, 600 * MS,
                     allowedZones, null);
         }
 
@@ -1460,9 +1554,9 @@
                 while (!queued.isEmpty() && proxy.at(queued.get(queued.size() - 1)) != null) {
                     sent.add(queued.remove(queued.size() - 1));
                 }
-                assertTrue(queued.size() < queuedBefore, "outcome " + i + " sent none");
+                assertTrue(queued.size() < queuedBefore, "outcome " + i + " sent no queued call");
                 assertTrue(queued.stream().allMatch(request -> proxy.at(request) == null),
-                        "outcome " + i + " sent older");
+                        "outcome " + i + " sent an older call before a newer one");
             }
         }
 
@@ -1484,9 +1578,10 @@
                         proxy.now - receivedAtUs.get(request)));
             }
             assertEquals(receivedAtUs.keySet(), waitedUs.keySet());
-            // 400 ms of use, less 1.4 times the 50 ms that calls take.
+            // A call is useful for 400 ms and is given up when less than 1.4 times the usual 50 ms of a call
+            // is left, so after 330 ms.
             assertTrue(waitedUs.values().stream().allMatch(us -> us >= 329 * MS && us <= 332 * MS),
-                    "waited: " + waitedUs.values());
+                    "times waited in us: " + waitedUs.values());
         }
 
         @Test
@@ -1514,7 +1609,7 @@
             queued.forEach(request -> assertEquals("c", proxy.at(request)));
         }
 
-        /** However many newer calls are queued that it is not for. */
+        /** Newer queued calls that may not use the server, however many, must not block one that may. */
         @Test
         void aReenabledServerGetsTheCallsThatMayUseIt() {
             Proxy proxy = proxyWithoutSlowStart(requestClass(Effect.SAFE, DedupScope.ALL, Set.of(0)),
@@ -1550,7 +1645,7 @@
         }
     }
 
-    /** Servers that operators take out. */
+    /** Servers that an operator disables. */
     @Nested
     class DisabledServers {
 
@@ -1564,7 +1659,7 @@
             }
         }
 
-        /** Changes, whole lists, a new start: a list never ends what was done by hand. */
+        /** Neither a change list nor a full list nor a restart of the server enables it again. */
         @Test
         void staysDisabledWhateverListsSay() {
             Proxy proxy = new Proxy(setup()).with("a", "b");
@@ -1588,7 +1683,8 @@
             String otherServer = proxy.at(call).equals("a") ? "b" : "a";
             proxy.logic.disable(proxy.now, otherServer);
             proxy.end(call, Outcome.CONNECT_FAILED);
-            assertEquals(1, proxy.attempts.get(call), "no server is left that it may use");
+            assertEquals(1, proxy.attempts.get(call),
+                    "the call was retried although the only other server is disabled");
         }
 
         @Test
@@ -1616,7 +1712,7 @@
             assertEquals(1, proxy.count("refuse " + call) + proxy.count("fail " + call));
         }
 
-        /** It was taken out, and most likely restarted: it bears a cold server's share only. */
+        /** A disabled server was most likely restarted, so it can take only a new server's share. */
         @Test
         void oneEnableEndsSeveralDisablesAndBeginsASlowStart() {
             Proxy.Setup withSlowStart = setup();
@@ -1634,7 +1730,7 @@
                 callsDuringSlowStart += proxy.serve().equals("a") ? 1 : 0;
             }
             assertTrue(callsDuringSlowStart > 0 && callsDuringSlowStart < 8,
-                    "a cold server got " + callsDuringSlowStart + " of 30 calls");
+                    "a reenabled server got " + callsDuringSlowStart + " of 30 calls");
             proxy.pass(8_000);
             int callsWhenWarm = 0;
             for (int i = 0; i < 30; i++) {
@@ -1643,7 +1739,10 @@
             assertTrue(callsWhenWarm >= 9, "a warm server got " + callsWhenWarm + " of 30 calls");
         }
 
-        /** It may have stood in for another that was out, beyond the few servers that this copy keeps to. */
+        /**
+         * The server may lie outside the replica's subset and have got calls only in place of an unavailable
+         * one. It must still get a call soon, as the operator who enabled it looks for one.
+         */
         @Test
         void aReenabledServerGetsACallSoonEvenOutsideTheSubset() {
             Proxy.Setup fourReplicas = setup();
@@ -1664,17 +1763,17 @@
                     used.add(proxy.serve());
                 }
                 assertTrue(used.contains(server),
-                        server + " got none of " + (proxy.sentTo.size() - requestsBefore));
+                        server + " got no call; requests sent: " + (proxy.sentTo.size() - requestsBefore));
             }
             Set<String> usedLater = new HashSet<>();
             proxy.pass(8_000);
             for (int i = 0; i < 40; i++) {
                 usedLater.add(proxy.serve());
             }
-            assertEquals(subset, usedLater, "then the copy keeps to its circle again");
+            assertEquals(subset, usedLater, "the replica does not use its subset again");
         }
 
-        /** The list tells late that it was restarted, or that it was gone meanwhile. */
+        /** The list may show only after the enable that the server was restarted, or that it was gone. */
         @Test
         void aReenabledServerGetsACallSoonThoughItsRestartIsListedLater() {
             for (boolean listedAsGone : List.of(false, true)) {
@@ -1702,13 +1801,13 @@
                         }
                         proxy.pass(40);
                     }
-                    assertTrue(used, server + " is left unused, gone: " + listedAsGone);
+                    assertTrue(used, server + " got no call; was listed as gone: " + listedAsGone);
                     proxy.pass(20_000);
                 }
             }
         }
 
-        /** Failures of the process that was taken out say nothing of the one that is back. */
+        /** Failures of the process that was disabled say nothing about the one that runs after the enable. */
         @Test
         void aReenabledServerIsNotKeptEjected() {
             Proxy proxy = new Proxy(setup()).with("a", "b");
@@ -1747,7 +1846,7 @@
             assertFalse(proxy.logic.knows("z"));
             proxy.change("d", 0, ServerStatus.DRAINING);
             proxy.change("c", 0, ServerStatus.GONE);
-            assertTrue(proxy.logic.knows("c"), "it was listed once");
+            assertTrue(proxy.logic.knows("c"), "a server that was listed once must stay known");
             assertEquals(new Balancer.ServerCounts(3, 1), proxy.logic.serverCounts(proxy.now));
             proxy.logic.disable(proxy.now, "a");
             proxy.logic.disable(proxy.now, "c");
@@ -1756,7 +1855,7 @@
             assertEquals(new Balancer.ServerCounts(3, 1), proxy.logic.serverCounts(proxy.now));
         }
 
-        /** A successor takes bans over before it has heard of the servers. */
+        /** A new process of the proxy takes over disabled servers before it has received a server list. */
         @Test
         void aServerMayBeDisabledBeforeItIsListed() {
             Proxy proxy = new Proxy(setup()).with("b");
@@ -1768,7 +1867,7 @@
             assertEquals("b", proxy.serve());
         }
 
-        /** Ever new servers come. */
+        /** New server names keep coming, so names must not be remembered without limit. */
         @Test
         void namesOfServersLongGoneAreForgotten() {
             Proxy proxy = new Proxy(setup()).with("a");
@@ -1782,17 +1881,18 @@
         }
     }
 
-    /** Requests too long to be held, and answers that are passed on as they come. */
+    /** Requests too long to be buffered, and responses that are forwarded while they arrive. */
     @Nested
     class StreamedBodies {
 
+        /** Starts a request whose body is still arriving and returns its id. */
         private String startIncompleteRequest(Proxy proxy, int requestClass) {
             String id = "long" + proxy.done.size();
             proxy.logic.request(proxy.now, new Request(id, requestClass, 0, 1_000 * MS, 0, false, true));
             return id;
         }
 
-        /** However long it comes in, no attempt at it is overdue before its last byte. */
+        /** However long a request takes to arrive, none of its attempts is overdue before its last byte. */
         @Test
         void attemptsBecomeOverdueOnlyAfterTheLastByte() {
             Proxy proxy = new Proxy(setup()).with("a", "b", "c");
@@ -1801,10 +1901,11 @@
             }
             String call = startIncompleteRequest(proxy, Proxy.SAFE);
             proxy.pass(900);
-            assertEquals(1, proxy.attempts.get(call), "no second copy while it comes in");
+            assertEquals(1, proxy.attempts.get(call), "hedged although the request is still arriving");
             proxy.logic.requestComplete(proxy.now, call, 1_000 * MS);
             proxy.pass(900);
-            assertEquals(2, proxy.attempts.get(call), "overdue, as others are");
+            assertEquals(2, proxy.attempts.get(call),
+                    "an overdue call was not hedged after its request was complete");
             assertFalse(proxy.did("fail " + call) || proxy.did("refuse " + call));
         }
 
@@ -1818,7 +1919,8 @@
             proxy.logic.bodyDiscarded(proxy.now, discarded);
             proxy.end(discarded, Outcome.CONNECT_FAILED);
             assertEquals(1, proxy.attempts.get(discarded));
-            assertTrue(proxy.did("refuse " + discarded), "it cannot have run, so its client may come again");
+            assertTrue(proxy.did("refuse " + discarded),
+                    "the call cannot have run, so its client must be told that it may retry");
         }
 
         @Test
