--- a/src/main/java/passhatch/CallQueue.java
+++ b/src/main/java/passhatch/CallQueue.java
@@ -14,13 +14,13 @@
     private static final Comparator<Call> BY_ARRIVAL = Comparator.comparingLong(call -> call.sequenceNumber);
 
     private final List<NavigableSet<Call>> lanes = new ArrayList<>();
-    private final NavigableSet<Call> byTime =
+    private final NavigableSet<Call> byDueTime =
             new TreeSet<>(Comparator.<Call>comparingLong(call -> call.dueAtUs).thenComparing(BY_ARRIVAL));
-    private final int classes;
+    private final int classCount;
 
-    CallQueue(int classes) {
-        this.classes = classes;
-        while (lanes.size() <= classes) {
+    CallQueue(int classCount) {
+        this.classCount = classCount;
+        while (lanes.size() <= classCount) {
             lanes.add(new TreeSet<>(BY_ARRIVAL));
         }
     }
@@ -30,8 +30,8 @@
     }
 
     /** Adds a call that is not offered anything. */
-    void addAside(Call call, long dueAtUs) {
-        add(call, classes, dueAtUs);
+    void addAwaitingProbes(Call call, long dueAtUs) {
+        add(call, classCount, dueAtUs);
     }
 
     private void add(Call call, int lane, long dueAtUs) {
@@ -39,7 +39,7 @@
         call.lane = lane;
         call.dueAtUs = dueAtUs;
         lanes.get(lane).add(call);
-        byTime.add(call);
+        byDueTime.add(call);
     }
 
     /** Returns false where the call is not queued. */
@@ -48,75 +48,76 @@
             return false;
         }
         lanes.get(call.lane).remove(call);
-        byTime.remove(call);
+        byDueTime.remove(call);
         call.lane = -1;
         return true;
     }
 
     boolean isEmpty() {
-        return byTime.isEmpty();
+        return byDueTime.isEmpty();
     }
 
     /** The calls aside as they are now, the newest first. */
-    List<Call> aside() {
-        return List.copyOf(lanes.get(classes).descendingSet());
+    List<Call> awaitingProbes() {
+        return List.copyOf(lanes.get(classCount).descendingSet());
     }
 
     /** All calls of a kind as they are now, the first due first. */
-    List<Call> all(Predicate<Call> kind) {
-        return byTime.stream().filter(kind).toList();
+    List<Call> findAll(Predicate<Call> filter) {
+        return byDueTime.stream().filter(filter).toList();
     }
 
     /** When the next call is due, or the greatest value. */
-    long nextUs() {
-        return byTime.isEmpty() ? Long.MAX_VALUE : byTime.first().dueAtUs;
+    long nextDueUs() {
+        return byDueTime.isEmpty() ? Long.MAX_VALUE : byDueTime.first().dueAtUs;
     }
 
     /** A call that is due by now, or null. */
-    Call due(long nowUs) {
-        return nextUs() <= nowUs ? byTime.first() : null;
+    Call firstDue(long nowUs) {
+        return nextDueUs() <= nowUs ? byDueTime.first() : null;
     }
 
     /**
      * Offers something to the queued calls, the newest first. Calls of a class differ little: after so many
      * refusals its older ones are passed over, so that an offer costs the same however many are queued.
      *
-     * @param most refusals in a lane after which its older calls are passed over
-     * @param open the lanes that it may go to at all
-     * @param may the calls that it may go to; others are stepped over, and are no refusals
-     * @param takes the calls that would take it now
-     * @param taker is handed each of these; one queued again after that has refused, too
+     * @param maxRefusalsPerLane refusals in a lane after which its older calls are passed over
+     * @param laneFilter the lanes that it may go to at all
+     * @param isEligible the calls that it may go to; others are stepped over, and are no refusals
+     * @param accepts the calls that would take it now
+     * @param onAccepted is handed each of these; one queued again after that has refused, too
      */
-    void offer(int most, IntPredicate open, Predicate<Call> may, Predicate<Call> takes,
-            Consumer<Call> taker) {
-        int[] left = new int[classes];
-        Call[] next = new Call[classes];
-        for (int lane = 0; lane < classes; lane++) {
-            left[lane] = most;
-            next[lane] = open.test(lane) ? first(lanes.get(lane).descendingSet(), may) : null;
+    void offer(int maxRefusalsPerLane, IntPredicate laneFilter, Predicate<Call> isEligible,
+            Predicate<Call> accepts, Consumer<Call> onAccepted) {
+        int[] refusalsLeft = new int[classCount];
+        Call[] candidates = new Call[classCount];
+        for (int lane = 0; lane < classCount; lane++) {
+            refusalsLeft[lane] = maxRefusalsPerLane;
+            candidates[lane] = laneFilter.test(lane)
+                    ? firstMatching(lanes.get(lane).descendingSet(), isEligible) : null;
         }
-        for (int lane = newest(next); lane >= 0; lane = newest(next)) {
-            Call call = next[lane];
-            boolean taken = takes.test(call);
-            if (taken) {
-                taker.accept(call);
+        for (int lane = indexOfNewest(candidates); lane >= 0; lane = indexOfNewest(candidates)) {
+            Call call = candidates[lane];
+            boolean accepted = accepts.test(call);
+            if (accepted) {
+                onAccepted.accept(call);
             }
-            left[lane] -= taken && !call.isQueued() ? 0 : 1;
-            next[lane] = left[lane] > 0
-                    ? first(lanes.get(lane).headSet(call, false).descendingSet(), may) : null;
+            refusalsLeft[lane] -= accepted && !call.isQueued() ? 0 : 1;
+            candidates[lane] = refusalsLeft[lane] > 0
+                    ? firstMatching(lanes.get(lane).headSet(call, false).descendingSet(), isEligible) : null;
         }
     }
 
-    private static Call first(NavigableSet<Call> calls, Predicate<Call> may) {
+    private static Call firstMatching(NavigableSet<Call> calls, Predicate<Call> filter) {
         for (Call call : calls) {
-            if (may.test(call)) {
+            if (filter.test(call)) {
                 return call;
             }
         }
         return null;
     }
 
-    private static int newest(Call[] calls) {
+    private static int indexOfNewest(Call[] calls) {
         int newest = -1;
         for (int i = 0; i < calls.length; i++) {
             if (calls[i] != null && (newest < 0 || calls[i].sequenceNumber > calls[newest].sequenceNumber)) {
--- a/src/main/java/passhatch/LeastLoadedBalancer.java
+++ b/src/main/java/passhatch/LeastLoadedBalancer.java
@@ -311,7 +311,7 @@
         }
         updateSubsets(nowUs, affected);
         if (kind != ListKind.CACHED) {
-            serverStarts.heard(nowUs);
+            serverStarts.listReceived(nowUs);
         }
         if (!listReceived) {
             listReceived = true;
@@ -346,7 +346,7 @@
         if (server == null || entry.startedAtUs() != server.startedAtUs || entry.zone() != server.zone) {
             server = new ServerState(entry.id());
             server.startedAtUs = entry.startedAtUs();
-            server.warmUpStartUs = serverStarts.startOf(nowUs, entry);
+            server.warmUpStartUs = serverStarts.startTimeUs(nowUs, entry);
             server.disabled = serverNames.disabled.contains(server.id);
             server.zone = entry.zone();
             server.lastAssignedVirtualUs = zoneDelayRounds(server) > 0
@@ -381,7 +381,7 @@
                 }
             }
             if (!affected.isEmpty()) {
-                subsets.get(index).change(removed, added, maxSubsetSize());
+                subsets.get(index).update(removed, added, maxSubsetSize());
             }
         }
         for (ServerState server : affected) {
@@ -530,7 +530,7 @@
     @Override
     public void discoveryFailed(long nowUs, DiscoveryFailure failure) {
         watchingDiscovery = false;
-        nextDiscoveryCallUs = nowUs + discoveryBackoff.nextPauseUs(failure);
+        nextDiscoveryCallUs = nowUs + discoveryBackoff.nextDelayUs(failure);
         processDueWork(nowUs, null);
     }
 
@@ -589,7 +589,7 @@
         ServerState server = reportedIdle != null ? reportedIdle
                 : pickServer(nowUs, call, CandidateFilter.HAS_CAPACITY);
         if (reportedIdle == null && probeBeforeSending(nowUs, call)) {
-            queue.addAside(call, call.probeWaitUntilUs);
+            queue.addAwaitingProbes(call, call.probeWaitUntilUs);
             scheduleWakeUp(call.probeWaitUntilUs);
         } else if (call.overQuota && (server == null || knownInFlight(nowUs, server) > 0)) {
             giveUp(nowUs, call, GiveUpReason.BEYOND_SHARE);
@@ -732,7 +732,7 @@
             }
             for (int i = 0; remaining > 0; i++) {
                 if (i == candidates.size()) {
-                    candidates = subset.all();
+                    candidates = subset.allServers();
                 }
                 if (i == candidates.size()) {
                     break;
@@ -1324,7 +1324,7 @@
      * for them, or they may have too little time left.
      */
     private void checkQueue(long nowUs) {
-        queue.all(call -> hasTooLittleTime(nowUs, call)).forEach(call -> dispatch(nowUs, call));
+        queue.findAll(call -> hasTooLittleTime(nowUs, call)).forEach(call -> dispatch(nowUs, call));
         servers.stream().filter(server -> server.nextStateChangeUs(lastQueueCheckUs) <= nowUs)
                 .forEach(server -> offerToQueue(nowUs, server));
         queue.offer(MAX_DECLINED_OFFERS, lane -> true, call -> true, call -> true,
@@ -1361,7 +1361,7 @@
         if (queue.isEmpty()) {
             return;
         }
-        for (Call call : queue.aside()) {
+        for (Call call : queue.awaitingProbes()) {
             // While a probe is in flight, these calls go only to a server that has reported to be idle.
             if (!usesLoadReports(nowUs) || !hasProbeInFlight(nowUs)
                     || changedServer != null && isReportedIdle(nowUs, changedServer)) {
@@ -1375,9 +1375,9 @@
         if (nextQueueCheckUs <= nowUs) {
             checkQueue(nowUs);
         }
-        for (Call call = queue.due(nowUs); call != null; call = queue.due(nowUs)) {
+        for (Call call = queue.firstDue(nowUs); call != null; call = queue.firstDue(nowUs)) {
             dispatch(nowUs, call);
         }
-        scheduleWakeUp(Math.min(nextQueueCheckUs, queue.nextUs()));
+        scheduleWakeUp(Math.min(nextQueueCheckUs, queue.nextDueUs()));
     }
 }
--- a/src/main/java/passhatch/ServerStarts.java
+++ b/src/main/java/passhatch/ServerStarts.java
@@ -13,42 +13,42 @@
 final class ServerStarts {
 
     /** Servers remembered; ever new ones come, and what nobody forgets grows for good. */
-    private static final int MOST_REMEMBERED = 8_192;
+    private static final int MAX_REMEMBERED = 8_192;
     /** A server is listed so long after its start at most. */
-    private static final long MOST_NOTICE_US = 4_000_000;
+    private static final long MAX_LISTING_DELAY_US = 4_000_000;
 
     /** A start as a list told it, and as it is taken. */
-    private record Start(long toldUs, long takenUs) { }
+    private record StartTime(long reportedUs, long acceptedUs) { }
 
-    private final Map<String, Start> known = new LinkedHashMap<>();
+    private final Map<String, StartTime> startTimes = new LinkedHashMap<>();
     /** When discovery was last heard; the least value before that. */
-    private long heardUs = Long.MIN_VALUE;
+    private long lastListUs = Long.MIN_VALUE;
 
     /** A list of discovery has been taken in. */
-    void heard(long nowUs) {
-        heardUs = nowUs;
+    void listReceived(long nowUs) {
+        lastListUs = nowUs;
     }
 
     /** Since when the server counts as started; 0 or less for long ago. */
-    long startOf(long nowUs, Server server) {
-        Start before = known.get(server.id());
-        if (before != null && before.toldUs == server.startedAtUs()) {
-            return before.takenUs;
+    long startTimeUs(long nowUs, Server server) {
+        StartTime previous = startTimes.get(server.id());
+        if (previous != null && previous.reportedUs == server.startedAtUs()) {
+            return previous.acceptedUs;
         }
-        long takenUs = server.startedAtUs() <= 0 ? server.startedAtUs()
-                : plausible(nowUs, server.startedAtUs());
-        known.put(server.id(), new Start(server.startedAtUs(), takenUs));
-        Iterator<String> earliest = known.keySet().iterator();
-        while (known.size() > MOST_REMEMBERED) {
-            earliest.next();
-            earliest.remove();
+        long acceptedUs = server.startedAtUs() <= 0 ? server.startedAtUs()
+                : plausibleStartUs(nowUs, server.startedAtUs());
+        startTimes.put(server.id(), new StartTime(server.startedAtUs(), acceptedUs));
+        Iterator<String> oldestFirst = startTimes.keySet().iterator();
+        while (startTimes.size() > MAX_REMEMBERED) {
+            oldestFirst.next();
+            oldestFirst.remove();
         }
-        return takenUs;
+        return acceptedUs;
     }
 
     /** A start that the list before did not have lies between shortly before that list and now. */
-    private long plausible(long nowUs, long toldUs) {
-        boolean tooEarly = heardUs != Long.MIN_VALUE && toldUs < heardUs - MOST_NOTICE_US;
-        return toldUs > nowUs || tooEarly ? nowUs : toldUs;
+    private long plausibleStartUs(long nowUs, long reportedUs) {
+        boolean tooEarly = lastListUs != Long.MIN_VALUE && reportedUs < lastListUs - MAX_LISTING_DELAY_US;
+        return reportedUs > nowUs || tooEarly ? nowUs : reportedUs;
     }
 }
--- a/src/main/java/passhatch/SettingsBuilder.java
+++ b/src/main/java/passhatch/SettingsBuilder.java
@@ -93,8 +93,8 @@
     }
 
     /** Shortest time between two events of this instance, in microseconds. Default: 1000. */
-    public SettingsBuilder tickUs(long us) {
-        tickUs = us;
+    public SettingsBuilder tickUs(long intervalUs) {
+        tickUs = intervalUs;
         return this;
     }
 
--- a/src/main/java/passhatch/Subsetting.java
+++ b/src/main/java/passhatch/Subsetting.java
@@ -20,21 +20,21 @@
 final class Subsetting {
 
     /** Replicas of a server at most, as a multiple of the mean: with less room one change moves many more. */
-    private static final double BOUND = 1.3;
+    private static final double MAX_REPLICAS_FACTOR = 1.3;
     /** A server with fewer than this part of the mean is joined by further replicas, as an extra member. */
-    private static final double LEAST = 0.8;
+    private static final double MIN_REPLICAS_FACTOR = 0.8;
     /** Rounds before the bound is given up, for each wanted server: a third is mostly enough. */
-    private static final int ROUNDS = 4;
-    private static final int LEAST_ROUNDS = 64;
+    private static final int BOUNDED_ROUNDS_PER_MEMBER = 4;
+    private static final int MIN_BOUNDED_ROUNDS = 64;
 
-    private final int replica;
+    private final int replicaIndex;
     private final int replicas;
     private final HashRing ring = new HashRing();
     private List<ServerState> members = List.of();
-    private List<ServerState> all = List.of();
+    private List<ServerState> allServers = List.of();
 
-    Subsetting(int replica, int replicas) {
-        this.replica = replica;
+    Subsetting(int replicaIndex, int replicas) {
+        this.replicaIndex = replicaIndex;
         this.replicas = replicas;
     }
 
@@ -44,77 +44,83 @@
     }
 
     /** The members, then all others in the order in which they stand in for members out of use. */
-    List<ServerState> all() {
-        return all = all.size() < ring.size() ? ring.order(members, replica) : all;
+    List<ServerState> allServers() {
+        return allServers = allServers.size() < ring.size()
+                ? ring.allServers(members, replicaIndex) : allServers;
     }
 
     /**
      * Takes servers off the list, puts others there and assigns anew.
      *
-     * @param wanted members of each replica; all servers where there are fewer
+     * @param subsetSize members of each replica; all servers where there are fewer
      */
-    void change(Collection<ServerState> gone, Collection<ServerState> come, int wanted) {
-        ring.change(gone, come);
-        all = List.of();
+    void update(Collection<ServerState> removed, Collection<ServerState> added, int subsetSize) {
+        ring.update(removed, added);
+        allServers = List.of();
         members = List.of();
-        if (wanted < ring.size()) {
-            assign(wanted);
+        if (subsetSize < ring.size()) {
+            assign(subsetSize);
         } else {
-            members = all();
+            members = allServers();
         }
     }
 
-    private void assign(int wanted) {
-        double mean = (double) replicas * wanted / ring.size();
-        int bound = Math.max((int) Math.ceil(mean), (int) (BOUND * mean));
-        int rounds = Math.max(LEAST_ROUNDS, ROUNDS * wanted);
-        Pairings pairings = new Pairings(replicas, wanted, ring.slots(), bound);
-        int[] asking = new int[replicas];
-        for (int r = 0; r < replicas; r++) {
-            asking[r] = r;
+    private void assign(int subsetSize) {
+        double meanReplicas = (double) replicas * subsetSize / ring.size();
+        int maxReplicas = Math.max((int) Math.ceil(meanReplicas), (int) (MAX_REPLICAS_FACTOR * meanReplicas));
+        int boundedRounds = Math.max(MIN_BOUNDED_ROUNDS, BOUNDED_ROUNDS_PER_MEMBER * subsetSize);
+        SubsetAssignment assignment =
+                new SubsetAssignment(replicas, subsetSize, ring.slotCount(), maxReplicas);
+        int[] incomplete = new int[replicas];
+        for (int replica = 0; replica < replicas; replica++) {
+            incomplete[replica] = replica;
         }
-        for (int k = 0, left = replicas; left > 0; k++) {
-            int still = 0;
-            for (int i = 0; i < left; i++) {
-                int r = asking[i];
-                int at = ring.after(r, k);
-                while (k >= rounds && pairings.has(r, ring.slot(at))) {
-                    at++;
+        for (int round = 0, incompleteCount = replicas; incompleteCount > 0; round++) {
+            int stillIncomplete = 0;
+            for (int i = 0; i < incompleteCount; i++) {
+                int replica = incomplete[i];
+                int pointIndex = ring.firstPointAfter(replica, round);
+                while (round >= boundedRounds && assignment.isAssigned(replica, ring.slotAt(pointIndex))) {
+                    pointIndex++;
                 }
-                int s = ring.slot(at);
-                if (k >= rounds || pairings.users[s] < bound && !pairings.has(r, s)) {
-                    pairings.add(r, s);
+                int slot = ring.slotAt(pointIndex);
+                if (round >= boundedRounds
+                        || assignment.replicaCounts[slot] < maxReplicas
+                                && !assignment.isAssigned(replica, slot)) {
+                    assignment.assign(replica, slot);
                 }
-                if (pairings.held[r] < wanted) {
-                    asking[still++] = r;
+                if (assignment.subsetSizes[replica] < subsetSize) {
+                    incomplete[stillIncomplete++] = replica;
                 }
             }
-            left = still;
+            incompleteCount = stillIncomplete;
         }
-        take(pairings, mean * LEAST);
+        selectMembers(assignment, meanReplicas * MIN_REPLICAS_FACTOR);
     }
 
     /** Takes this replica's own servers over, after those that too few keep to have been joined by more. */
-    private void take(Pairings pairings, double least) {
-        List<ServerState> own = new ArrayList<>();
-        for (int i = 0; i < pairings.held[replica]; i++) {
-            own.add(ring.server(pairings.server(replica, i)));
+    private void selectMembers(SubsetAssignment assignment, double minReplicas) {
+        List<ServerState> ownServers = new ArrayList<>();
+        for (int i = 0; i < assignment.subsetSizes[replicaIndex]; i++) {
+            ownServers.add(ring.server(assignment.server(replicaIndex, i)));
         }
-        for (int s = 0; s < ring.slots(); s++) {
-            ServerState server = ring.server(s);
+        for (int slot = 0; slot < ring.slotCount(); slot++) {
+            ServerState server = ring.server(slot);
             // A part of one more or less: else all servers were to be joined at once where the mean changes.
-            int users = server == null ? 0 : (int) Math.max(1, least + HashRing.part(server.hash));
-            Set<Integer> joined = pairings.users[s] < users ? new HashSet<>() : Set.of();
-            for (int k = 0; pairings.users[s] < users; k++) {
-                int r = HashRing.draw(server, k, replicas);
-                if (!pairings.has(r, s) && joined.add(r)) {
-                    pairings.users[s]++;
-                    if (r == replica) {
-                        own.add(server);
+            int wantedReplicas = server == null ? 0
+                    : (int) Math.max(1, minReplicas + HashRing.uniformFraction(server.hash));
+            Set<Integer> extraReplicas = assignment.replicaCounts[slot] < wantedReplicas
+                    ? new HashSet<>() : Set.of();
+            for (int drawIndex = 0; assignment.replicaCounts[slot] < wantedReplicas; drawIndex++) {
+                int extraReplica = HashRing.draw(server, drawIndex, replicas);
+                if (!assignment.isAssigned(extraReplica, slot) && extraReplicas.add(extraReplica)) {
+                    assignment.replicaCounts[slot]++;
+                    if (extraReplica == replicaIndex) {
+                        ownServers.add(server);
                     }
                 }
             }
         }
-        members = List.copyOf(own);
+        members = List.copyOf(ownServers);
     }
 }
--- a/src/main/java/passhatch/proxy/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/ClientConnection.java
@@ -219,7 +219,7 @@
     void close() {
         if (channel.isActive()) {
             turns.stream().filter(turn -> turn.stream == null && turn.owed() != null)
-                    .forEach(turn -> server.proxy().guard().closedUnanswered(turn.id));
+                    .forEach(turn -> server.proxy().guard().recordClosedUnanswered(turn.id));
         }
         channel.close();
     }
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -37,7 +37,7 @@
 import passhatch.proxy.BackendPool.Result;
 import passhatch.proxy.BackendPool.Target;
 import passhatch.proxy.EventLog.Kind;
-import passhatch.proxy.SendGuard.Moment;
+import passhatch.proxy.SendGuard.WriteConditions;
 
 /**
  * The only caller of the decision module: tells it what happens and does what it asks. It holds the state of
@@ -475,7 +475,7 @@
         // Guards against a connection that comes up late: one to a backend that was told to drain, or that
         // has gone or was taken out, in the meantime is sent nothing, and neither is what is over by then.
         attempt.handle = sendTo(backend, new Outgoing(() -> written(e, attempt, backend, untilUs),
-                e.request.body(), () -> guard.mayWrite(new Moment(e.answered || e.stream != null,
+                e.request.body(), () -> guard.mayWrite(new WriteConditions(e.answered || e.stream != null,
                         e.responder.isPresent(), backend.up, e.request.body().canBeSent(),
                         balancer.maySend(clock.nowUs(), id, attempt.number))),
                 figures::dispatched, e.arriving ? BackendPool.NO_TIMEOUT : waitUs, Outcome.TIMEOUT),
@@ -497,7 +497,7 @@
         long now = clock.nowUs();
         boolean othersMayHaveRun = e.attempts.stream().filter(other -> other != attempt)
                 .anyMatch(other -> other.outcome == null || !other.outcome.provesNotRun);
-        guard.written(new SendGuard.Attempt(e.request.id(), attempt.server, backend.goneUs(now),
+        guard.checkWritten(new SendGuard.Attempt(e.request.id(), attempt.server, backend.goneUs(now),
                 classes.get(e.request.requestClass()).effect(), othersMayHaveRun, attempt.number + 1,
                 untilUs - now, e.deadlineUs + ANSWER_MARGIN_US - now));
         return message(e.request, untilUs);
--- a/src/main/java/passhatch/proxy/SendGuard.java
+++ b/src/main/java/passhatch/proxy/SendGuard.java
@@ -42,7 +42,7 @@
     }
 
     /** What the network code knows just before an attempt is written. */
-    record Moment(boolean answered, boolean clientPresent, boolean backendUp, boolean bodyHeld,
+    record WriteConditions(boolean answered, boolean clientPresent, boolean backendUp, boolean bodyHeld,
             boolean allowed) { }
 
     /**
@@ -72,67 +72,67 @@
     }
 
     /** Whether the attempt may be written now; counts why not. */
-    boolean mayWrite(Moment now) {
-        HeldBack why = whyNot(now);
-        if (why != null) {
-            heldBack.merge(why, 1L, Long::sum);
+    boolean mayWrite(WriteConditions conditions) {
+        HeldBack reason = reasonNotToWrite(conditions);
+        if (reason != null) {
+            heldBack.merge(reason, 1L, Long::sum);
         }
-        return why == null;
+        return reason == null;
     }
 
-    private static HeldBack whyNot(Moment now) {
-        if (now.answered()) {
+    private static HeldBack reasonNotToWrite(WriteConditions conditions) {
+        if (conditions.answered()) {
             return HeldBack.ANSWERED;
         }
-        if (!now.clientPresent()) {
+        if (!conditions.clientPresent()) {
             return HeldBack.CLIENT_GONE;
         }
-        if (!now.backendUp()) {
+        if (!conditions.backendUp()) {
             return HeldBack.BACKEND_GONE;
         }
-        if (!now.bodyHeld()) {
+        if (!conditions.bodyHeld()) {
             return HeldBack.BODY_SPENT;
         }
-        return now.allowed() ? null : HeldBack.FORBIDDEN;
+        return conditions.allowed() ? null : HeldBack.FORBIDDEN;
     }
 
     /** Checks an attempt as it is written. */
-    void written(Attempt attempt) {
+    void checkWritten(Attempt attempt) {
         if (attempt.backendGoneUs() > drainGraceUs) {
-            violated(Violation.REMOVED_BACKEND, attempt.toString());
+            recordViolation(Violation.REMOVED_BACKEND, attempt.toString());
         }
         if (attempt.effect() == Effect.UNSAFE && attempt.othersMayHaveRun()) {
-            violated(Violation.SECOND_RUN, attempt.toString());
+            recordViolation(Violation.SECOND_RUN, attempt.toString());
         }
         if (attempt.number() > maxAttempts) {
-            violated(Violation.TOO_MANY_ATTEMPTS, attempt.toString());
+            recordViolation(Violation.TOO_MANY_ATTEMPTS, attempt.toString());
         }
         if (attempt.toldUs() > attempt.leftUs() + DEADLINE_SLACK_US) {
-            violated(Violation.TIME_BEYOND_CLIENT, attempt.toString());
+            recordViolation(Violation.TIME_BEYOND_CLIENT, attempt.toString());
         }
     }
 
     /** A connection is closed by this program with requests on it that have no answer. */
-    void closedUnanswered(String request) {
-        violated(Violation.CLOSED_UNANSWERED, request);
+    void recordClosedUnanswered(String request) {
+        recordViolation(Violation.CLOSED_UNANSWERED, request);
     }
 
-    private void violated(Violation rule, String what) {
+    private void recordViolation(Violation rule, String details) {
         violations.merge(rule, 1L, Long::sum);
-        log.line(Kind.VIOLATION, "VIOLATION " + rule + ": " + what);
+        log.line(Kind.VIOLATION, "VIOLATION " + rule + ": " + details);
     }
 
-    long violations(Violation rule) {
+    long violationCount(Violation rule) {
         return violations.getOrDefault(rule, 0L);
     }
 
     /** Adds the metrics, one a line. */
     void metrics(Figures.Lines lines) {
-        for (HeldBack why : HeldBack.values()) {
-            lines.add("held_back." + Figures.lowerCase(why), heldBack.getOrDefault(why, 0L));
+        for (HeldBack reason : HeldBack.values()) {
+            lines.add("held_back." + Figures.lowerCase(reason), heldBack.getOrDefault(reason, 0L));
         }
         for (Violation rule : Violation.values()) {
-            lines.add("violations." + Figures.lowerCase(rule), violations(rule));
+            lines.add("violations." + Figures.lowerCase(rule), violationCount(rule));
         }
     }
 }
--- a/src/test/java/passhatch/LogicTest.java
+++ b/src/test/java/passhatch/LogicTest.java
@@ -30,15 +30,16 @@
 import passhatch.Balancer.ServerStatus;
 
 /**
- * Tests of the decision module on its own. {@link Proxy} stands in for the network: it reports events to the
+ * Tests of the decision module on its own. {@link FakeProxy} stands in for the network: it reports events to
+ * the
  * module, records the actions that the module requests, and advances virtual time only when a test does.
  */
 class LogicTest {
 
-    private static final long MS = Proxy.MS;
+    private static final long MS = FakeProxy.MS;
 
-    private static Proxy.Setup setup() {
-        return new Proxy.Setup();
+    private static FakeProxy.Setup setup() {
+        return new FakeProxy.Setup();
     }
 
     /** The choice among servers that are all healthy. */
@@ -47,29 +48,29 @@
 
         @Test
         void takesIdleServersBeforeBusyOnes() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c");
             Set<String> taken = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                taken.add(proxy.at(proxy.request(Proxy.SAFE)));
+                taken.add(proxy.latestServer(proxy.request(FakeProxy.SAFE)));
             }
             assertEquals(Set.of("a", "b", "c"), taken);
         }
 
         @Test
         void takesTheServerWithFewestInFlightWhenNoneIsIdle() {
-            Proxy proxy = new Proxy(setup()).with("a", "b");
-            String first = proxy.request(Proxy.SAFE);
-            proxy.request(Proxy.SAFE);
-            proxy.request(Proxy.SAFE);
-            proxy.request(Proxy.SAFE);
-            proxy.end(first, Outcome.OK);
-            String freedServer = proxy.at(first);
-            assertEquals(freedServer, proxy.at(proxy.request(Proxy.SAFE)));
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
+            String first = proxy.request(FakeProxy.SAFE);
+            proxy.request(FakeProxy.SAFE);
+            proxy.request(FakeProxy.SAFE);
+            proxy.request(FakeProxy.SAFE);
+            proxy.endAttempt(first, Outcome.OK);
+            String freedServer = proxy.latestServer(first);
+            assertEquals(freedServer, proxy.latestServer(proxy.request(FakeProxy.SAFE)));
         }
 
         @Test
         void takesTheLeastRecentlyAssignedIdleServer() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c");
             String[] firstRound = {proxy.serve(), proxy.serve(), proxy.serve()};
             for (String server : firstRound) {
                 assertEquals(server, proxy.serve());
@@ -80,7 +81,7 @@
         void eachReplicaTakesUnusedServersInItsOwnOrder() {
             Set<List<String>> orders = new HashSet<>();
             for (int seed = 0; seed < 20; seed++) {
-                Proxy proxy = new Proxy(setup(), seed).with("a", "b", "c");
+                FakeProxy proxy = new FakeProxy(setup(), seed).withServers("a", "b", "c");
                 orders.add(List.of(proxy.serve(), proxy.serve(), proxy.serve()));
             }
             assertTrue(orders.size() > 2, "orders seen: " + orders);
@@ -88,14 +89,14 @@
 
         @Test
         void givesASlowServerFewerRequests() {
-            Proxy proxy = new Proxy(setup()).with("a", "b");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
             Map<String, Integer> requestsByServer = new HashMap<>();
             for (int i = 0; i < 120; i++) {
-                String request = proxy.request(Proxy.SAFE);
-                String server = proxy.at(request);
+                String request = proxy.request(FakeProxy.SAFE);
+                String server = proxy.latestServer(request);
                 requestsByServer.merge(server, 1, Integer::sum);
-                proxy.pass(100);
-                proxy.logic.outcome(proxy.now, request, 0, server, Outcome.OK,
+                proxy.advanceTime(100);
+                proxy.logic.outcome(proxy.nowUs, request, 0, server, Outcome.OK,
                         server.equals("a") ? 100 * MS : 50 * MS,
                         true, null);
             }
@@ -105,15 +106,15 @@
 
         @Test
         void sameEventsGiveTheSameActionsWhateverAnotherInstanceDoes() {
-            Proxy expected = new Proxy(setup(), 3).with("a", "b", "c");
-            Proxy actual = new Proxy(setup(), 3).with("a", "b", "c");
-            Proxy otherInstance = new Proxy(setup(), 4).with("a", "b", "c");
+            FakeProxy expected = new FakeProxy(setup(), 3).withServers("a", "b", "c");
+            FakeProxy actual = new FakeProxy(setup(), 3).withServers("a", "b", "c");
+            FakeProxy otherInstance = new FakeProxy(setup(), 4).withServers("a", "b", "c");
             for (int i = 0; i < 50; i++) {
                 expected.serve();
-                otherInstance.request(Proxy.UNSAFE);
+                otherInstance.request(FakeProxy.UNSAFE);
                 actual.serve();
             }
-            assertEquals(expected.done, actual.done);
+            assertEquals(expected.actions, actual.actions);
         }
     }
 
@@ -123,53 +124,53 @@
 
         @Test
         void aServerThatFailedOnceIsTakenOnlyWhenAllOthersAreBusy() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c");
             for (int i = 0; i < 3; i++) {
                 proxy.serve();
             }
-            String request = proxy.request(Proxy.SAFE);
-            String failedServer = proxy.at(request);
-            proxy.end(request, Outcome.CONNECT_FAILED);
-            proxy.end(request, Outcome.OK);
-            proxy.pass(1);
-            assertNotEquals(failedServer, proxy.at(proxy.request(Proxy.SAFE)));
-            proxy.pass(1);
-            assertNotEquals(failedServer, proxy.at(proxy.request(Proxy.SAFE)));
-            proxy.pass(1);
-            assertEquals(failedServer, proxy.at(proxy.request(Proxy.SAFE)));
+            String request = proxy.request(FakeProxy.SAFE);
+            String failedServer = proxy.latestServer(request);
+            proxy.endAttempt(request, Outcome.CONNECT_FAILED);
+            proxy.endAttempt(request, Outcome.OK);
+            proxy.advanceTime(1);
+            assertNotEquals(failedServer, proxy.latestServer(proxy.request(FakeProxy.SAFE)));
+            proxy.advanceTime(1);
+            assertNotEquals(failedServer, proxy.latestServer(proxy.request(FakeProxy.SAFE)));
+            proxy.advanceTime(1);
+            assertEquals(failedServer, proxy.latestServer(proxy.request(FakeProxy.SAFE)));
         }
 
         @Test
         void isEjectedAfterConsecutiveFailuresAndReturnsLater() {
-            Proxy proxy = new Proxy(setup()).with("a");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
             for (int i = 0; i < 2; i++) {
-                String request = proxy.request(Proxy.SAFE);
-                assertEquals("a", proxy.at(request));
-                proxy.end(request, Outcome.CONNECT_FAILED);
-                proxy.pass(1_000);
+                String request = proxy.request(FakeProxy.SAFE);
+                assertEquals("a", proxy.latestServer(request));
+                proxy.endAttempt(request, Outcome.CONNECT_FAILED);
+                proxy.advanceTime(1_000);
             }
-            String queued = proxy.request(Proxy.SAFE);
-            assertNull(proxy.at(queued));
-            proxy.pass(4_000);
-            assertEquals("a", proxy.at(proxy.request(Proxy.SAFE)));
+            String queued = proxy.request(FakeProxy.SAFE);
+            assertNull(proxy.latestServer(queued));
+            proxy.advanceTime(4_000);
+            assertEquals("a", proxy.latestServer(proxy.request(FakeProxy.SAFE)));
         }
 
         @Test
         void ejectionsGrowLongerWithEachFurtherFailure() {
             // A server that has no connection left would be overloaded further by frequent attempts.
-            Proxy proxy = new Proxy(setup()).with("a");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
             long[] ejectionsUs = new long[2];
             for (int i = 0; i < 5; i++) {
-                String request = proxy.request(Proxy.SAFE);
-                long requestedAtUs = proxy.now;
-                while (proxy.at(request) == null) {
-                    proxy.pass(100);
-                    request = proxy.at(request) == null ? proxy.request(Proxy.SAFE) : request;
+                String request = proxy.request(FakeProxy.SAFE);
+                long requestedAtUs = proxy.nowUs;
+                while (proxy.latestServer(request) == null) {
+                    proxy.advanceTime(100);
+                    request = proxy.latestServer(request) == null ? proxy.request(FakeProxy.SAFE) : request;
                 }
                 if (i >= 3) {
-                    ejectionsUs[i - 3] = proxy.now - requestedAtUs;
+                    ejectionsUs[i - 3] = proxy.nowUs - requestedAtUs;
                 }
-                proxy.end(request, Outcome.CONNECT_FAILED);
+                proxy.endAttempt(request, Outcome.CONNECT_FAILED);
             }
             assertTrue(ejectionsUs[1] > ejectionsUs[0] * 3 / 2,
                     ejectionsUs[0] + " us of ejection were followed by, in us, " + ejectionsUs[1]);
@@ -177,35 +178,36 @@
 
         @Test
         void requestWaitsWithoutServersAndFailsWhenTimeRunsShort() {
-            Proxy proxy = new Proxy(setup()).with();
-            String request = proxy.request(Proxy.UNSAFE);
-            proxy.pass(2_000);
+            FakeProxy proxy = new FakeProxy(setup()).withServers();
+            String request = proxy.request(FakeProxy.UNSAFE);
+            proxy.advanceTime(2_000);
             assertEquals(List.of("fail " + request),
-                    proxy.done.stream().filter(line -> !line.startsWith("log ")).toList());
+                    proxy.actions.stream().filter(line -> !line.startsWith("log ")).toList());
         }
 
         @Test
         void sendsAQueuedCallWhenAServerAppears() {
-            Proxy proxy = new Proxy(setup()).with();
-            String request = proxy.request(Proxy.SAFE);
-            proxy.change("a", 0, ServerStatus.UP);
-            proxy.pass(390);
-            String laterRequest = proxy.request(Proxy.SAFE);
-            proxy.pass(390);
-            assertTrue("a".equals(proxy.at(request)) || "a".equals(proxy.at(laterRequest)));
+            FakeProxy proxy = new FakeProxy(setup()).withServers();
+            String request = proxy.request(FakeProxy.SAFE);
+            proxy.changeServer("a", 0, ServerStatus.UP);
+            proxy.advanceTime(390);
+            String laterRequest = proxy.request(FakeProxy.SAFE);
+            proxy.advanceTime(390);
+            assertTrue("a".equals(proxy.latestServer(request))
+                    || "a".equals(proxy.latestServer(laterRequest)));
         }
 
         @Test
         void aServerWithFarMoreErrorsThanTheOthersIsEjected() {
             // A server that returns errors at once always looks idle and would attract ever more calls.
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d");
             int errors = 0;
             for (int i = 0; i < 200; i++) {
-                String request = proxy.request(Proxy.UNSAFE);
-                proxy.pass(20);
-                boolean isFaulty = "a".equals(proxy.at(request));
+                String request = proxy.request(FakeProxy.UNSAFE);
+                proxy.advanceTime(20);
+                boolean isFaulty = "a".equals(proxy.latestServer(request));
                 errors += isFaulty ? 1 : 0;
-                proxy.end(request, isFaulty ? Outcome.ERROR : Outcome.OK);
+                proxy.endAttempt(request, isFaulty ? Outcome.ERROR : Outcome.OK);
             }
             assertTrue(errors < 12, "calls sent to the server that returns errors: " + errors);
         }
@@ -214,12 +216,12 @@
         void similarErrorRatesEjectNoServer() {
             // Errors at every server come from a failing tier behind them; ejecting servers would only remove
             // capacity.
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                String request = proxy.request(Proxy.UNSAFE);
-                assertNotNull(proxy.at(request));
-                proxy.pass(20);
-                proxy.end(request, Outcome.ERROR);
+                String request = proxy.request(FakeProxy.UNSAFE);
+                assertNotNull(proxy.latestServer(request));
+                proxy.advanceTime(20);
+                proxy.endAttempt(request, Outcome.ERROR);
             }
         }
 
@@ -227,12 +229,12 @@
         void similarResetRatesEjectNoServer() {
             // The connections had been established, so the servers are alive. Ejecting all of them would
             // leave calls waiting without any server.
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                String request = proxy.request(Proxy.UNSAFE);
-                assertNotNull(proxy.at(request), "call " + i + " was not sent");
-                proxy.pass(20);
-                proxy.end(request, i % 10 < 3 ? Outcome.RESET : Outcome.OK);
+                String request = proxy.request(FakeProxy.UNSAFE);
+                assertNotNull(proxy.latestServer(request), "call " + i + " was not sent");
+                proxy.advanceTime(20);
+                proxy.endAttempt(request, i % 10 < 3 ? Outcome.RESET : Outcome.OK);
             }
         }
 
@@ -267,31 +269,33 @@
          */
         private double fractionOfRequestsWithAnEjectedServer(double failureRateOfA, Outcome failure) {
             Random random = new Random(11);
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d");
             int requestsWithEjection = 0;
             for (int i = 0; i < 4_000; i++) {
-                String request = proxy.request(Proxy.UNSAFE);
-                proxy.pass(20);
-                for (int attempt = 0; attempt < proxy.attempts.getOrDefault(request, 0); attempt++) {
+                String request = proxy.request(FakeProxy.UNSAFE);
+                proxy.advanceTime(20);
+                for (int attempt = 0; attempt < proxy.attemptCounts.getOrDefault(request, 0); attempt++) {
                     double failureRate =
-                            "a".equals(proxy.sentTo.get(request).get(attempt)) ? failureRateOfA : 1.0 / 8;
-                    proxy.end(request, attempt, random.nextDouble() < failureRate ? failure : Outcome.OK);
+                            "a".equals(proxy.serversByRequest.get(request).get(attempt)) ? failureRateOfA
+                            : 1.0 / 8;
+                    proxy.endAttempt(request, attempt,
+                            random.nextDouble() < failureRate ? failure : Outcome.OK);
                 }
-                requestsWithEjection += proxy.logic.serverCounts(proxy.now).unavailable() > 0 ? 1 : 0;
+                requestsWithEjection += proxy.logic.serverCounts(proxy.nowUs).unavailable() > 0 ? 1 : 0;
             }
             return requestsWithEjection / 4_000.0;
         }
 
         @Test
         void aServerThatBreaksFarMoreConnectionsThanTheOthersIsEjected() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d");
             int lostCalls = 0;
             for (int i = 0; i < 200; i++) {
-                String request = proxy.request(Proxy.UNSAFE);
-                proxy.pass(20);
-                boolean isFaulty = "a".equals(proxy.at(request));
+                String request = proxy.request(FakeProxy.UNSAFE);
+                proxy.advanceTime(20);
+                boolean isFaulty = "a".equals(proxy.latestServer(request));
                 lostCalls += isFaulty ? 1 : 0;
-                proxy.end(request, isFaulty ? Outcome.RESET : Outcome.OK);
+                proxy.endAttempt(request, isFaulty ? Outcome.RESET : Outcome.OK);
             }
             assertTrue(lostCalls < 12, "calls lost to the faulty server: " + lostCalls);
         }
@@ -300,20 +304,20 @@
         void aServerThatDoesNotRespondIsEjected() {
             // A hung server keeps its connections and answers probes but no calls: only overdue calls
             // show it.
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 8; i++) {
                 proxy.serve();
             }
             int lostCalls = 0;
             for (int i = 0; i < 40; i++) {
-                String request = proxy.request(Proxy.UNSAFE);
-                if ("a".equals(proxy.at(request))) {
+                String request = proxy.request(FakeProxy.UNSAFE);
+                if ("a".equals(proxy.latestServer(request))) {
                     lostCalls++;
-                    proxy.pass(1_000);
-                    proxy.end(request, Outcome.TIMEOUT);
+                    proxy.advanceTime(1_000);
+                    proxy.endAttempt(request, Outcome.TIMEOUT);
                 } else {
-                    proxy.pass(50);
-                    proxy.end(request, Outcome.OK);
+                    proxy.advanceTime(50);
+                    proxy.endAttempt(request, Outcome.OK);
                 }
             }
             assertTrue(lostCalls <= 3, "calls lost to the faulty server: " + lostCalls);
@@ -326,57 +330,57 @@
 
         @Test
         void endsARequestBeforeTheDeadlineWhenNoServerIsKnown() {
-            Proxy proxy = new Proxy(setup()).with();
-            String request = proxy.request(Proxy.SAFE);
-            proxy.pass(1_000);
-            assertEquals(1, proxy.count("fail " + request) + proxy.count("refuse " + request));
-            proxy.change("a", 0, ServerStatus.UP);
-            proxy.pass(10_000);
-            assertEquals(0, proxy.count("send " + request));
+            FakeProxy proxy = new FakeProxy(setup()).withServers();
+            String request = proxy.request(FakeProxy.SAFE);
+            proxy.advanceTime(1_000);
+            assertEquals(1, proxy.countActions("fail " + request) + proxy.countActions("refuse " + request));
+            proxy.changeServer("a", 0, ServerStatus.UP);
+            proxy.advanceTime(10_000);
+            assertEquals(0, proxy.countActions("send " + request));
         }
 
         @Test
         void failsOnceAfterATimeoutAtTheDeadline() {
-            Proxy proxy = new Proxy(setup()).with("a");
-            String request = proxy.request(Proxy.UNSAFE);
-            proxy.pass(1_000);
-            proxy.end(request, Outcome.TIMEOUT);
-            proxy.pass(1_000);
-            assertEquals(1, proxy.count("fail " + request));
-            assertEquals(1, proxy.count("send " + request));
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
+            String request = proxy.request(FakeProxy.UNSAFE);
+            proxy.advanceTime(1_000);
+            proxy.endAttempt(request, Outcome.TIMEOUT);
+            proxy.advanceTime(1_000);
+            assertEquals(1, proxy.countActions("fail " + request));
+            assertEquals(1, proxy.countActions("send " + request));
         }
 
         @Test
         void sendsNoFinalResponseOnceTheClientHasGone() {
-            Proxy proxy = new Proxy(setup()).with("a", "b");
-            String request = proxy.request(Proxy.SAFE);
-            proxy.logic.clientGone(proxy.now, request);
-            proxy.end(request, Outcome.ERROR);
-            proxy.pass(2_000);
-            assertEquals(0, proxy.count("fail") + proxy.count("refuse"));
-            assertEquals(1, proxy.count("send"));
-            assertTrue(proxy.did("cancel " + request + " 0"));
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
+            String request = proxy.request(FakeProxy.SAFE);
+            proxy.logic.clientGone(proxy.nowUs, request);
+            proxy.endAttempt(request, Outcome.ERROR);
+            proxy.advanceTime(2_000);
+            assertEquals(0, proxy.countActions("fail") + proxy.countActions("refuse"));
+            assertEquals(1, proxy.countActions("send"));
+            assertTrue(proxy.hasAction("cancel " + request + " 0"));
         }
 
         @Test
         void ignoresEventsForEndedOrUnknownRequests() {
-            Proxy proxy = new Proxy(setup()).with("a");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
             proxy.serve();
-            int actionsBefore = proxy.done.size();
-            proxy.logic.clientGone(proxy.now, "r0");
-            proxy.logic.outcome(proxy.now, "r0", 0, "a", Outcome.OK, 1, true, null);
-            proxy.logic.outcome(proxy.now, "unknown", 3, "a", Outcome.ERROR, 1, false, null);
-            assertEquals(actionsBefore, proxy.done.size());
+            int actionsBefore = proxy.actions.size();
+            proxy.logic.clientGone(proxy.nowUs, "r0");
+            proxy.logic.outcome(proxy.nowUs, "r0", 0, "a", Outcome.OK, 1, true, null);
+            proxy.logic.outcome(proxy.nowUs, "unknown", 3, "a", Outcome.ERROR, 1, false, null);
+            assertEquals(actionsBefore, proxy.actions.size());
         }
 
         @Test
         void neverSendsARequestThatEndedWhileItWaited() {
-            Proxy proxy = new Proxy(setup()).with();
-            String request = proxy.request(Proxy.SAFE);
-            proxy.logic.clientGone(proxy.now, request);
-            proxy.change("a", 0, ServerStatus.UP);
-            proxy.pass(2_000);
-            assertEquals(0, proxy.count("send"));
+            FakeProxy proxy = new FakeProxy(setup()).withServers();
+            String request = proxy.request(FakeProxy.SAFE);
+            proxy.logic.clientGone(proxy.nowUs, request);
+            proxy.changeServer("a", 0, ServerStatus.UP);
+            proxy.advanceTime(2_000);
+            assertEquals(0, proxy.countActions("send"));
         }
     }
 
@@ -390,25 +394,26 @@
                 if (outcome == Outcome.OK) {
                     continue;
                 }
-                Proxy proxy = new Proxy(setup()).with("a", "b");
-                String request = proxy.request(Proxy.UNSAFE);
-                proxy.end(request, outcome);
-                assertEquals(outcome.provesNotRun ? 2 : 1, proxy.count("send " + request), outcome.name());
+                FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
+                String request = proxy.request(FakeProxy.UNSAFE);
+                proxy.endAttempt(request, outcome);
+                assertEquals(outcome.provesNotRun ? 2 : 1, proxy.countActions("send " + request),
+                        outcome.name());
                 if (!outcome.provesNotRun) {
-                    assertEquals(1, proxy.count("fail " + request), outcome.name());
-                    assertEquals(0, proxy.count("refuse " + request), outcome.name());
+                    assertEquals(1, proxy.countActions("fail " + request), outcome.name());
+                    assertEquals(0, proxy.countActions("refuse " + request), outcome.name());
                 }
             }
         }
 
         @Test
         void anOverdueUnsafeCallIsNotHedged() {
-            Proxy.Setup setup = setup();
-            Proxy proxy = new Proxy(setup).with("a", "b", "c");
+            FakeProxy.Setup setup = setup();
+            FakeProxy proxy = new FakeProxy(setup).withServers("a", "b", "c");
             proxy.serve();
-            String request = proxy.request(Proxy.UNSAFE);
-            proxy.pass(900);
-            assertEquals(1, proxy.count("send " + request));
+            String request = proxy.request(FakeProxy.UNSAFE);
+            proxy.advanceTime(900);
+            assertEquals(1, proxy.countActions("send " + request));
         }
 
         /**
@@ -417,74 +422,74 @@
          */
         @Test
         void withoutHedgingACallHasOneAttemptInFlightAtATime() {
-            for (int requestClass : new int[] {Proxy.SAFE, Proxy.KEYED}) {
-                Proxy.Setup setup = setup();
-                setup.aimUs = 900 * Proxy.MS;
-                setup.secondCopies = false;
-                Proxy proxy = new Proxy(setup).with("a", "b", "c");
+            for (int requestClass : new int[] {FakeProxy.SAFE, FakeProxy.KEYED}) {
+                FakeProxy.Setup setup = setup();
+                setup.latencyGoalUs = 900 * FakeProxy.MS;
+                setup.hedging = false;
+                FakeProxy proxy = new FakeProxy(setup).withServers("a", "b", "c");
                 proxy.serve();
                 String request = proxy.request(requestClass);
-                proxy.pass(500);
-                assertEquals(1, proxy.count("send " + request));
-                proxy.end(request, Outcome.ERROR);
-                assertEquals(2, proxy.count("send " + request));
-                setup.secondCopies = true;
-                proxy = new Proxy(setup).with("a", "b", "c");
+                proxy.advanceTime(500);
+                assertEquals(1, proxy.countActions("send " + request));
+                proxy.endAttempt(request, Outcome.ERROR);
+                assertEquals(2, proxy.countActions("send " + request));
+                setup.hedging = true;
+                proxy = new FakeProxy(setup).withServers("a", "b", "c");
                 proxy.serve();
                 request = proxy.request(requestClass);
-                proxy.pass(500);
-                assertTrue(proxy.count("send " + request) >= 2,
+                proxy.advanceTime(500);
+                assertTrue(proxy.countActions("send " + request) >= 2,
                         "with hedging, an overdue call gets a second attempt");
             }
         }
 
         @Test
         void aKeyedCallIsRetriedOnlyInItsDedupZoneAndWindow() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
-            String request = proxy.request(Proxy.KEYED_IN_ZONE);
-            String firstServer = proxy.at(request);
-            proxy.end(request, Outcome.ERROR);
-            assertEquals("ab".contains(firstServer), "ab".contains(proxy.at(request)));
-            assertNotEquals(firstServer, proxy.at(request));
-            proxy.end(request, Outcome.ERROR);
-            proxy.pass(1_000);
-            assertEquals(2, proxy.count("send " + request));
-            assertEquals(1, proxy.count("fail " + request));
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d");
+            String request = proxy.request(FakeProxy.KEYED_IN_ZONE);
+            String firstServer = proxy.latestServer(request);
+            proxy.endAttempt(request, Outcome.ERROR);
+            assertEquals("ab".contains(firstServer), "ab".contains(proxy.latestServer(request)));
+            assertNotEquals(firstServer, proxy.latestServer(request));
+            proxy.endAttempt(request, Outcome.ERROR);
+            proxy.advanceTime(1_000);
+            assertEquals(2, proxy.countActions("send " + request));
+            assertEquals(1, proxy.countActions("fail " + request));
         }
 
         @Test
         void aKeyedCallIsNotSentAgainAfterItsDedupWindow() {
-            Proxy.Setup setup = setup();
-            setup.aimUs = 1_000 * MS;
-            Proxy proxy = new Proxy(setup).with("a", "b");
-            String request = proxy.request(Proxy.KEYED);
-            proxy.pass(601);
-            proxy.end(request, Outcome.ERROR);
-            assertEquals(1, proxy.count("send " + request));
+            FakeProxy.Setup setup = setup();
+            setup.latencyGoalUs = 1_000 * MS;
+            FakeProxy proxy = new FakeProxy(setup).withServers("a", "b");
+            String request = proxy.request(FakeProxy.KEYED);
+            proxy.advanceTime(601);
+            proxy.endAttempt(request, Outcome.ERROR);
+            assertEquals(1, proxy.countActions("send " + request));
         }
 
         @Test
         void retriesAreBudgeted() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                String request = proxy.request(Proxy.SAFE);
-                while (proxy.count("fail " + request) + proxy.count("refuse " + request) == 0) {
-                    proxy.end(request, Outcome.ERROR);
+                String request = proxy.request(FakeProxy.SAFE);
+                while (proxy.countActions("fail " + request) + proxy.countActions("refuse " + request) == 0) {
+                    proxy.endAttempt(request, Outcome.ERROR);
                 }
-                proxy.pass(20);
+                proxy.advanceTime(20);
             }
-            assertTrue(proxy.count("send") <= 100 + 5 + 10,
-                    "attempts sent for 100 requests: " + proxy.count("send"));
+            assertTrue(proxy.countActions("send") <= 100 + 5 + 10,
+                    "attempts sent for 100 requests: " + proxy.countActions("send"));
         }
 
         @Test
         void attemptsAreLimited() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d", "e", "f");
-            String request = proxy.request(Proxy.SAFE);
-            while (proxy.count("fail " + request) + proxy.count("refuse " + request) == 0) {
-                proxy.end(request, Outcome.FULL);
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d", "e", "f");
+            String request = proxy.request(FakeProxy.SAFE);
+            while (proxy.countActions("fail " + request) + proxy.countActions("refuse " + request) == 0) {
+                proxy.endAttempt(request, Outcome.FULL);
             }
-            assertEquals(4, proxy.count("send " + request));
+            assertEquals(4, proxy.countActions("send " + request));
         }
     }
 
@@ -499,12 +504,14 @@
          * Returns a proxy with servers a and b in zone 0, c and d in zone 1; a and c are of machine type 0,
          * b and d of type 1. A null restriction allows all zones or machine types.
          */
-        private Proxy proxyWithRestrictedClass(Set<Integer> allowedZones, Set<Integer> allowedMachineTypes) {
-            Proxy.Setup setup = setup();
-            setup.more = List.of(new RequestClass("restricted", 400 * MS, 1_000 * MS, 1, 0, Effect.SAFE,
+        private FakeProxy proxyWithRestrictedClass(Set<Integer> allowedZones,
+                Set<Integer> allowedMachineTypes) {
+            FakeProxy.Setup setup = setup();
+            setup.extraClasses = List.of(new RequestClass("restricted", 400 * MS, 1_000 * MS, 1, 0,
+                    Effect.SAFE,
                     DedupScope.ALL, 0, allowedZones, allowedMachineTypes));
-            Proxy proxy = new Proxy(setup);
-            proxy.logic.serversChanged(proxy.now, ListKind.CACHED, List.of(
+            FakeProxy proxy = new FakeProxy(setup);
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.CACHED, List.of(
                     new Server("a", 0, 0, 0, ServerStatus.UP, 0), new Server("b", 0, 0, 0,
                             ServerStatus.UP, 1),
                     new Server("c", 0, 1, 0, ServerStatus.UP, 0), new Server("d", 0, 1, 0,
@@ -514,46 +521,47 @@
 
         @Test
         void aRestrictedClassUsesOnlyAllowedServersAtEveryAttempt() {
-            Proxy proxy = proxyWithRestrictedClass(null, Set.of(1));
+            FakeProxy proxy = proxyWithRestrictedClass(null, Set.of(1));
             for (int i = 0; i < 30; i++) {
                 String request = proxy.request(RESTRICTED_CLASS);
-                if (proxy.at(request) != null) {
-                    proxy.end(request, i % 2 == 0 ? Outcome.CONNECT_FAILED : Outcome.FULL);
+                if (proxy.latestServer(request) != null) {
+                    proxy.endAttempt(request, i % 2 == 0 ? Outcome.CONNECT_FAILED : Outcome.FULL);
                 }
-                proxy.pass(70);
+                proxy.advanceTime(70);
             }
             Set<String> used = new HashSet<>();
-            proxy.sentTo.values().forEach(used::addAll);
+            proxy.serversByRequest.values().forEach(used::addAll);
             assertEquals(Set.of("b", "d"), used);
         }
 
         @Test
         void zoneAndMachineTypeRestrictionsBothApply() {
-            Proxy proxy = proxyWithRestrictedClass(Set.of(1), Set.of(1));
+            FakeProxy proxy = proxyWithRestrictedClass(Set.of(1), Set.of(1));
             for (int i = 0; i < 5; i++) {
-                assertEquals("d", proxy.at(proxy.request(RESTRICTED_CLASS)));
+                assertEquals("d", proxy.latestServer(proxy.request(RESTRICTED_CLASS)));
             }
         }
 
         @Test
         void waitsWithoutAnAllowedServerAndEndsInTime() {
             for (Set<Integer> allowedMachineTypes : List.of(Set.<Integer>of(), Set.of(7))) {
-                Proxy proxy = proxyWithRestrictedClass(null, allowedMachineTypes);
+                FakeProxy proxy = proxyWithRestrictedClass(null, allowedMachineTypes);
                 String request = proxy.request(RESTRICTED_CLASS);
-                proxy.pass(1_000);
-                assertNull(proxy.at(request));
-                assertEquals(1, proxy.count("refuse " + request) + proxy.count("fail " + request));
+                proxy.advanceTime(1_000);
+                assertNull(proxy.latestServer(request));
+                assertEquals(1, proxy.countActions("refuse " + request)
+                        + proxy.countActions("fail " + request));
             }
         }
 
         @Test
         void aWaitingCallTakesTheFirstAllowedServer() {
-            Proxy proxy = proxyWithRestrictedClass(Set.of(3), null);
+            FakeProxy proxy = proxyWithRestrictedClass(Set.of(3), null);
             String request = proxy.request(RESTRICTED_CLASS);
-            proxy.logic.serversChanged(proxy.now, ListKind.CHANGES, List.of(
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.CHANGES, List.of(
                     new Server("e", 0, 3, 0, ServerStatus.UP, 0)));
-            proxy.pass(300);
-            assertEquals("e", proxy.at(request));
+            proxy.advanceTime(300);
+            assertEquals("e", proxy.latestServer(request));
         }
     }
 
@@ -563,86 +571,88 @@
 
         @Test
         void sendsNothingToADrainingGoneOrMissingServer() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d");
-            proxy.change("a", 0, ServerStatus.DRAINING);
-            proxy.change("b", 0, ServerStatus.GONE);
-            proxy.logic.serversChanged(proxy.now, ListKind.FULL, List.of(
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d");
+            proxy.changeServer("a", 0, ServerStatus.DRAINING);
+            proxy.changeServer("b", 0, ServerStatus.GONE);
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.FULL, List.of(
                     new Server("a", 0, 0, 0, ServerStatus.DRAINING), new Server("d", 0, 0, 0,
                             ServerStatus.UP)));
             for (int i = 0; i < 10; i++) {
-                assertEquals("d", proxy.at(proxy.request(Proxy.SAFE)));
-                proxy.pass(20);
-                proxy.end("r" + i, Outcome.OK);
+                assertEquals("d", proxy.latestServer(proxy.request(FakeProxy.SAFE)));
+                proxy.advanceTime(20);
+                proxy.endAttempt("r" + i, Outcome.OK);
             }
         }
 
         /** Returns a proxy that must close idle connections to a draining server within 1 s. */
-        private Proxy proxyThatClosesIdleConnections() {
-            Proxy.Setup setup = setup();
+        private FakeProxy proxyThatClosesIdleConnections() {
+            FakeProxy.Setup setup = setup();
             setup.closeWithinUs = 1_000 * MS;
-            return new Proxy(setup).with("a", "b", "c");
+            return new FakeProxy(setup).withServers("a", "b", "c");
         }
 
         @Test
         void closesIdleConnectionsWhenADrainIsListedAndAfterTheLastOutcome() {
-            Proxy proxy = proxyThatClosesIdleConnections();
+            FakeProxy proxy = proxyThatClosesIdleConnections();
             List<String> requests =
-                    List.of(proxy.request(Proxy.SAFE), proxy.request(Proxy.SAFE), proxy.request(Proxy.SAFE));
-            String requestToA = requests.stream().filter(request -> proxy.at(request).equals("a"))
+                    List.of(proxy.request(FakeProxy.SAFE), proxy.request(FakeProxy.SAFE),
+                    proxy.request(FakeProxy.SAFE));
+            String requestToA = requests.stream().filter(request -> proxy.latestServer(request).equals("a"))
                     .findFirst().orElseThrow();
-            proxy.logic.serversChanged(proxy.now, ListKind.CHANGES, List.of(
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.CHANGES, List.of(
                     new Server("a", 0, 0, 0, ServerStatus.DRAINING), new Server("b", 0, 0, 0,
                             ServerStatus.DRAINING)));
-            assertEquals(List.of(1, 1, 0), List.of(proxy.count("close a"), proxy.count("close b"),
-                    proxy.count("close c")));
-            proxy.logic.serversChanged(proxy.now, ListKind.FULL, List.of(new Server("c", 0, 0, 0,
+            assertEquals(List.of(1, 1, 0),
+                    List.of(proxy.countActions("close a"), proxy.countActions("close b"),
+                    proxy.countActions("close c")));
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.FULL, List.of(new Server("c", 0, 0, 0,
                     ServerStatus.UP)));
-            proxy.pass(100);
-            proxy.end(requestToA, Outcome.OK);
-            assertEquals(2, proxy.count("close a"),
+            proxy.advanceTime(100);
+            proxy.endAttempt(requestToA, Outcome.OK);
+            assertEquals(2, proxy.countActions("close a"),
                     "idle connections were not closed after the last call ended");
         }
 
         @Test
         void leavesConnectionsOpenWithoutACloseTimeOrOnceTheServerIsUpAgain() {
-            Proxy proxy = new Proxy(setup()).with("a");
-            proxy.change("a", 0, ServerStatus.DRAINING);
-            assertEquals(0, proxy.count("close"));
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
+            proxy.changeServer("a", 0, ServerStatus.DRAINING);
+            assertEquals(0, proxy.countActions("close"));
             proxy = proxyThatClosesIdleConnections();
-            String request = proxy.request(Proxy.SAFE);
-            String server = proxy.at(request);
-            proxy.change(server, 0, ServerStatus.DRAINING);
-            proxy.change(server, 0, ServerStatus.UP);
-            proxy.end(request, Outcome.OK);
-            assertEquals(1, proxy.count("close"));
+            String request = proxy.request(FakeProxy.SAFE);
+            String server = proxy.latestServer(request);
+            proxy.changeServer(server, 0, ServerStatus.DRAINING);
+            proxy.changeServer(server, 0, ServerStatus.UP);
+            proxy.endAttempt(request, Outcome.OK);
+            assertEquals(1, proxy.countActions("close"));
         }
 
         @Test
         void aServerThatLeavesAndReturnsKeepsItsCallsInFlight() {
-            Proxy proxy = proxyThatClosesIdleConnections();
-            String request = proxy.request(Proxy.SAFE);
-            String server = proxy.at(request);
-            proxy.change(server, 0, ServerStatus.GONE);
-            proxy.change(server, 0, ServerStatus.UP);
-            Set<String> taken = new HashSet<>(List.of(proxy.at(proxy.request(Proxy.SAFE)),
-                    proxy.at(proxy.request(Proxy.SAFE))));
+            FakeProxy proxy = proxyThatClosesIdleConnections();
+            String request = proxy.request(FakeProxy.SAFE);
+            String server = proxy.latestServer(request);
+            proxy.changeServer(server, 0, ServerStatus.GONE);
+            proxy.changeServer(server, 0, ServerStatus.UP);
+            Set<String> taken = new HashSet<>(List.of(proxy.latestServer(proxy.request(FakeProxy.SAFE)),
+                    proxy.latestServer(proxy.request(FakeProxy.SAFE))));
             assertFalse(taken.contains(server), "taken for idle with a call in flight");
         }
 
         @Test
         void retriesDiscoveryWithGrowingBackoff() {
-            Proxy.Setup setup = setup();
+            FakeProxy.Setup setup = setup();
             setup.watch = true;
-            Proxy proxy = new Proxy(setup).with("a");
-            assertEquals(1, proxy.count("watch"));
+            FakeProxy proxy = new FakeProxy(setup).withServers("a");
+            assertEquals(1, proxy.countActions("watch"));
             long backoffUs = 0;
             for (int i = 1; i < 6; i++) {
-                proxy.logic.discoveryFailed(proxy.now, Balancer.DiscoveryFailure.REFUSED);
-                long failedAtUs = proxy.now;
-                while (proxy.count("watch") == i) {
-                    proxy.pass(10);
+                proxy.logic.discoveryFailed(proxy.nowUs, Balancer.DiscoveryFailure.REFUSED);
+                long failedAtUs = proxy.nowUs;
+                while (proxy.countActions("watch") == i) {
+                    proxy.advanceTime(10);
                 }
-                backoffUs = proxy.now - failedAtUs;
+                backoffUs = proxy.nowUs - failedAtUs;
                 assertTrue(backoffUs < 8_000 * MS,
                         "pause before discovery was called again, in us: " + backoffUs);
             }
@@ -651,9 +661,9 @@
 
         @Test
         void doesNotWatchDiscoveryWhereListsArePushed() {
-            Proxy proxy = new Proxy(setup()).with("a");
-            proxy.logic.discoveryFailed(proxy.now, Balancer.DiscoveryFailure.REFUSED);
-            assertEquals(0, proxy.count("watch"));
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
+            proxy.logic.discoveryFailed(proxy.nowUs, Balancer.DiscoveryFailure.REFUSED);
+            assertEquals(0, proxy.countActions("watch"));
         }
     }
 
@@ -664,56 +674,56 @@
         private static final int SERVER_COUNT = 300;
 
         /** Returns the last of 400 replicas, with 300 servers listed. */
-        private Proxy proxyWithManyServers(boolean probes) {
-            Proxy.Setup setup = setup();
-            setup.copies = 400;
-            setup.copy = 399;
+        private FakeProxy proxyWithManyServers(boolean probes) {
+            FakeProxy.Setup setup = setup();
+            setup.replicas = 400;
+            setup.replicaIndex = 399;
             setup.probes = probes;
-            return new Proxy(setup).with(serverIds(SERVER_COUNT));
+            return new FakeProxy(setup).withServers(serverIds(SERVER_COUNT));
         }
 
         @Test
         void anEmptyListAndAStartTimeThatGoesBackLeaveTheReplicaUsable() {
             for (boolean probes : new boolean[] {false, true}) {
-                Proxy proxy = proxyWithManyServers(probes);
-                String inFlight = proxy.request(Proxy.UNSAFE);
-                proxy.sayIdle();
-                String server = proxy.at(inFlight);
-                proxy.logic.serversChanged(proxy.now, ListKind.FULL, List.of());
-                String queued = proxy.request(Proxy.SAFE);
-                assertNull(proxy.at(queued), "sent to a server that is gone");
-                proxy.end(inFlight, Outcome.OK);
-                proxy.change(server, proxy.now, ServerStatus.UP);
-                proxy.change(server, 0, ServerStatus.UP);
-                proxy.sayIdle();
-                assertEquals(server, proxy.at(queued),
+                FakeProxy proxy = proxyWithManyServers(probes);
+                String inFlight = proxy.request(FakeProxy.UNSAFE);
+                proxy.reportIdle();
+                String server = proxy.latestServer(inFlight);
+                proxy.logic.serversChanged(proxy.nowUs, ListKind.FULL, List.of());
+                String queued = proxy.request(FakeProxy.SAFE);
+                assertNull(proxy.latestServer(queued), "sent to a server that is gone");
+                proxy.endAttempt(inFlight, Outcome.OK);
+                proxy.changeServer(server, proxy.nowUs, ServerStatus.UP);
+                proxy.changeServer(server, 0, ServerStatus.UP);
+                proxy.reportIdle();
+                assertEquals(server, proxy.latestServer(queued),
                         "the queued call was not sent to the only server left");
-                proxy.pass(2_000);
+                proxy.advanceTime(2_000);
             }
         }
 
         @Test
         void repeatedAndUnknownOutcomesAreIgnored() {
-            Proxy proxy = proxyWithManyServers(false);
-            String request = proxy.request(Proxy.SAFE);
-            proxy.end(request, Outcome.OK);
-            int actionsBefore = proxy.done.size();
-            proxy.end(request, Outcome.RESET);
-            proxy.logic.outcome(proxy.now, "never", 3, "nowhere", Outcome.OK, 1, true, null);
-            proxy.logic.probeResult(proxy.now, "nowhere", Outcome.TIMEOUT, 1, null);
-            proxy.logic.clientGone(proxy.now, request);
-            assertEquals(actionsBefore, proxy.done.size(),
+            FakeProxy proxy = proxyWithManyServers(false);
+            String request = proxy.request(FakeProxy.SAFE);
+            proxy.endAttempt(request, Outcome.OK);
+            int actionsBefore = proxy.actions.size();
+            proxy.endAttempt(request, Outcome.RESET);
+            proxy.logic.outcome(proxy.nowUs, "never", 3, "nowhere", Outcome.OK, 1, true, null);
+            proxy.logic.probeResult(proxy.nowUs, "nowhere", Outcome.TIMEOUT, 1, null);
+            proxy.logic.clientGone(proxy.nowUs, request);
+            assertEquals(actionsBefore, proxy.actions.size(),
                     "acted on an event for an ended or unknown request");
         }
 
         @Test
         void aReplicaWhoseWholeSubsetIsGoneUsesOtherServers() {
-            Proxy proxy = proxyWithManyServers(false);
+            FakeProxy proxy = proxyWithManyServers(false);
             Set<String> subset = new HashSet<>();
             for (int i = 0; i < 20; i++) {
                 subset.add(proxy.serve());
             }
-            subset.forEach(id -> proxy.change(id, 0, ServerStatus.GONE));
+            subset.forEach(id -> proxy.changeServer(id, 0, ServerStatus.GONE));
             for (int i = 0; i < 20; i++) {
                 String server = proxy.serve();
                 assertNotNull(server);
@@ -733,40 +743,40 @@
          * Returns a proxy after five calls, each to a server that had reported to be idle and each with this
          * outcome.
          */
-        private Proxy proxyAfterCallsToIdleServers(Outcome outcome) {
-            Proxy.Setup setup = setup();
+        private FakeProxy proxyAfterCallsToIdleServers(Outcome outcome) {
+            FakeProxy.Setup setup = setup();
             setup.probes = true;
-            Proxy proxy = new Proxy(setup).with(serverIds(12));
+            FakeProxy proxy = new FakeProxy(setup).withServers(serverIds(12));
             for (int i = 0; i < 5; i++) {
-                String request = proxy.request(Proxy.UNSAFE);
-                proxy.sayIdle();
-                proxy.end(request, outcome);
-                proxy.sayIdle();
-                proxy.pass(1);
+                String request = proxy.request(FakeProxy.UNSAFE);
+                proxy.reportIdle();
+                proxy.endAttempt(request, outcome);
+                proxy.reportIdle();
+                proxy.advanceTime(1);
             }
             return proxy;
         }
 
         @Test
         void ignoresLoadReportsForAWhileWhenIdleServersTurnOutFull() {
-            Proxy proxy = proxyAfterCallsToIdleServers(Outcome.FULL);
-            int probesBefore = proxy.count("probe");
-            assertNotNull(proxy.at(proxy.request(Proxy.SAFE)),
+            FakeProxy proxy = proxyAfterCallsToIdleServers(Outcome.FULL);
+            int probesBefore = proxy.countActions("probe");
+            assertNotNull(proxy.latestServer(proxy.request(FakeProxy.SAFE)),
                     "the call was not sent at once, without a probe");
-            assertEquals(probesBefore, proxy.count("probe"));
-            proxy.pass(4_000);
-            proxy.request(Proxy.SAFE);
-            assertTrue(proxy.count("probe") > probesBefore,
+            assertEquals(probesBefore, proxy.countActions("probe"));
+            proxy.advanceTime(4_000);
+            proxy.request(FakeProxy.SAFE);
+            assertTrue(proxy.countActions("probe") > probesBefore,
                     "no probe was sent once load reports were trusted again");
         }
 
         @Test
         void keepsProbingWhileLoadReportsAreAccurate() {
-            Proxy proxy = proxyAfterCallsToIdleServers(Outcome.OK);
-            int probesBefore = proxy.count("probe");
-            proxy.pass(50);
-            proxy.request(Proxy.SAFE);
-            assertTrue(proxy.count("probe") > probesBefore);
+            FakeProxy proxy = proxyAfterCallsToIdleServers(Outcome.OK);
+            int probesBefore = proxy.countActions("probe");
+            proxy.advanceTime(50);
+            proxy.request(FakeProxy.SAFE);
+            assertTrue(proxy.countActions("probe") > probesBefore);
         }
     }
 
@@ -779,15 +789,16 @@
 
         @Test
         void aServerWhoseLastCallsTookTheWholeLatencyGoalIsAvoidedForAWhile() {
-            Proxy proxy = new Proxy(setup()).with("a");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
             for (int i = 0; i < 3; i++) {
-                String request = proxy.request(Proxy.SAFE);
-                proxy.pass(390);
-                proxy.logic.outcome(proxy.now, request, 0, "a", Outcome.OK, 390 * MS, true, null);
-            }
-            assertNull(proxy.at(proxy.request(Proxy.SAFE)), "sent to a server that other replicas overload");
-            proxy.pass(4_000);
-            assertEquals("a", proxy.at(proxy.request(Proxy.SAFE)),
+                String request = proxy.request(FakeProxy.SAFE);
+                proxy.advanceTime(390);
+                proxy.logic.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, 390 * MS, true, null);
+            }
+            assertNull(proxy.latestServer(proxy.request(FakeProxy.SAFE)),
+                    "sent to a server that other replicas overload");
+            proxy.advanceTime(4_000);
+            assertEquals("a", proxy.latestServer(proxy.request(FakeProxy.SAFE)),
                     "the server was not tried again, so its recovery would go unnoticed");
         }
 
@@ -798,20 +809,20 @@
          * @param replicas replicas that send to the server, this one included
          */
         private int sentOfThreeCallsAfter(long laterLatencyMs, int replicas) {
-            Proxy.Setup setup = setup();
-            setup.copies = replicas;
-            setup.aimUs = 900 * MS;
-            Proxy proxy = new Proxy(setup).with("a");
+            FakeProxy.Setup setup = setup();
+            setup.replicas = replicas;
+            setup.latencyGoalUs = 900 * MS;
+            FakeProxy proxy = new FakeProxy(setup).withServers("a");
             for (int i = 0; i < 60; i++) {
                 long latencyMs = i < 20 ? 20 : laterLatencyMs;
-                String request = proxy.request(Proxy.SAFE);
-                proxy.pass(latencyMs);
-                proxy.logic.outcome(proxy.now, request, 0, "a", Outcome.OK, latencyMs * MS, true, null);
+                String request = proxy.request(FakeProxy.SAFE);
+                proxy.advanceTime(latencyMs);
+                proxy.logic.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, latencyMs * MS, true, null);
             }
             for (int i = 0; i < 3; i++) {
-                proxy.request(Proxy.SAFE);
+                proxy.request(FakeProxy.SAFE);
             }
-            return proxy.count("send") - 60;
+            return proxy.countActions("send") - 60;
         }
 
         @Test
@@ -835,26 +846,27 @@
     class OperatorLogLines {
 
         /** Returns the lines that the module logged so far. */
-        private List<String> logLines(Proxy proxy) {
-            return proxy.done.stream().filter(line -> line.startsWith("log ")).map(line -> line.substring(4))
+        private List<String> logLines(FakeProxy proxy) {
+            return proxy.actions.stream().filter(line -> line.startsWith("log "))
+                    .map(line -> line.substring(4))
                     .toList();
         }
 
         @Test
         void logsWhyAServerIsEjectedAndThatCallsWaitButNotForEachCall() {
-            Proxy.Setup setup = setup();
+            FakeProxy.Setup setup = setup();
             setup.maxAttempts = 1;
-            Proxy proxy = new Proxy(setup).with("a");
+            FakeProxy proxy = new FakeProxy(setup).withServers("a");
             for (int i = 0; i < 2; i++) {
-                proxy.end(proxy.request(Proxy.SAFE), Outcome.CONNECT_FAILED);
+                proxy.endAttempt(proxy.request(FakeProxy.SAFE), Outcome.CONNECT_FAILED);
             }
             assertEquals(List.of("a rests: connections to it fail"), logLines(proxy));
-            proxy.request(Proxy.UNSAFE);
+            proxy.request(FakeProxy.UNSAFE);
             assertEquals(1, logLines(proxy).size(), "at most one line is logged in ten seconds");
-            proxy.pass(10_000);
-            proxy.logic.serversChanged(proxy.now, ListKind.FULL, List.of());
-            proxy.request(Proxy.UNSAFE);
-            proxy.request(Proxy.UNSAFE);
+            proxy.advanceTime(10_000);
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.FULL, List.of());
+            proxy.request(FakeProxy.UNSAFE);
+            proxy.request(FakeProxy.UNSAFE);
             assertEquals(
                     List.of("UNSAFE-ALL waits: every server it may use is too crowded, rests or is cold"),
                     logLines(proxy).subList(1, logLines(proxy).size()));
@@ -870,17 +882,17 @@
          * before.
          */
         private Set<String> unconnectedServersUsedAfterAFailure(long keepaliveUs) {
-            Proxy.Setup setup = setup();
+            FakeProxy.Setup setup = setup();
             setup.keepaliveUs = keepaliveUs;
-            Proxy proxy = new Proxy(setup).with("a", "b", "c", "d", "e", "f");
+            FakeProxy proxy = new FakeProxy(setup).withServers("a", "b", "c", "d", "e", "f");
             Set<String> connected = new HashSet<>(List.of(proxy.serve(), proxy.serve()));
-            String request = proxy.request(Proxy.SAFE);
-            proxy.end(request, Outcome.CONNECT_FAILED);
-            connected.add(proxy.at(request));
-            proxy.end(request, Outcome.OK);
+            String request = proxy.request(FakeProxy.SAFE);
+            proxy.endAttempt(request, Outcome.CONNECT_FAILED);
+            connected.add(proxy.latestServer(request));
+            proxy.endAttempt(request, Outcome.OK);
             Set<String> used = new HashSet<>();
             for (int i = 0; i < 6; i++) {
-                proxy.pass(100);
+                proxy.advanceTime(100);
                 used.add(proxy.serve());
             }
             used.removeAll(connected);
@@ -899,20 +911,20 @@
 
         @Test
         void aNegativeKeepAliveTimeIsRejectedByName() {
-            Proxy.Setup setup = setup();
+            FakeProxy.Setup setup = setup();
             setup.keepaliveUs = -1;
-            Exception exception = assertThrows(IllegalArgumentException.class, () -> new Proxy(setup));
+            Exception exception = assertThrows(IllegalArgumentException.class, () -> new FakeProxy(setup));
             assertTrue(exception.getMessage().contains("limits.keepaliveUs"), exception.getMessage());
         }
 
         @Test
         void afterSomeSuccessesAllServersAreUsedAgain() {
-            Proxy.Setup setup = setup();
+            FakeProxy.Setup setup = setup();
             setup.keepaliveUs = 10_000 * MS;
-            Proxy proxy = new Proxy(setup).with("a", "b", "c", "d");
-            String request = proxy.request(Proxy.SAFE);
-            proxy.end(request, Outcome.CONNECT_FAILED);
-            proxy.end(request, Outcome.OK);
+            FakeProxy proxy = new FakeProxy(setup).withServers("a", "b", "c", "d");
+            String request = proxy.request(FakeProxy.SAFE);
+            proxy.endAttempt(request, Outcome.CONNECT_FAILED);
+            proxy.endAttempt(request, Outcome.OK);
             Set<String> used = new HashSet<>();
             for (int i = 0; i < 100; i++) {
                 used.add(proxy.serve());
@@ -929,12 +941,12 @@
 
         /** Returns the servers that one of 60 replicas uses for 120 calls, with 60 servers listed. */
         private Set<String> usedServers(int replicaIndex, int callsPerConnection, boolean probes) {
-            Proxy.Setup setup = setup();
+            FakeProxy.Setup setup = setup();
             setup.probes = probes;
-            setup.copies = SERVER_COUNT;
-            setup.copy = replicaIndex;
+            setup.replicas = SERVER_COUNT;
+            setup.replicaIndex = replicaIndex;
             setup.callsPerConnection = callsPerConnection;
-            Proxy proxy = new Proxy(setup, replicaIndex).with(serverIds(SERVER_COUNT));
+            FakeProxy proxy = new FakeProxy(setup, replicaIndex).withServers(serverIds(SERVER_COUNT));
             Set<String> used = new HashSet<>();
             for (int i = 0; i < 2 * SERVER_COUNT; i++) {
                 used.add(proxy.serve());
@@ -956,12 +968,12 @@
         @Test
         void serversOfItsOwnZoneComeFirstWhereCrossingZonesHasACost() {
             for (int replicaIndex = 0; replicaIndex < SERVER_COUNT; replicaIndex += 7) {
-                Proxy.Setup setup = setup();
+                FakeProxy.Setup setup = setup();
                 setup.probes = true;
-                setup.crossZone = 0.005;
-                setup.copies = SERVER_COUNT;
-                setup.copy = replicaIndex;
-                Proxy proxy = new Proxy(setup, replicaIndex).with(serverIds(SERVER_COUNT));
+                setup.crossZonePrice = 0.005;
+                setup.replicas = SERVER_COUNT;
+                setup.replicaIndex = replicaIndex;
+                FakeProxy proxy = new FakeProxy(setup, replicaIndex).withServers(serverIds(SERVER_COUNT));
                 Set<String> first = Set.of(proxy.serve(), proxy.serve());
                 assertEquals(Set.of(serverIds(SERVER_COUNT)[0], serverIds(SERVER_COUNT)[1]), first,
                         "the first two calls did not go to the two servers of its own zone");
@@ -970,22 +982,22 @@
 
         @Test
         void serversOfOtherZonesTakeCallsWhileItsOwnZoneIsOverloaded() {
-            Proxy.Setup setup = setup();
-            setup.crossZone = 0.01;
-            setup.copies = 100;
-            Proxy proxy = new Proxy(setup);
+            FakeProxy.Setup setup = setup();
+            setup.crossZonePrice = 0.01;
+            setup.replicas = 100;
+            FakeProxy proxy = new FakeProxy(setup);
             List<Server> servers = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
                 servers.add(new Server("s" + i, 0, i < 6 ? 0 : 1, 0, ServerStatus.UP));
             }
-            proxy.logic.serversChanged(proxy.now, ListKind.CACHED, servers);
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.CACHED, servers);
             for (int i = 0; i < 30; i++) {
                 assertTrue(Integer.parseInt(proxy.serve().substring(1)) < 6,
                         "sent to another zone while its own was idle");
             }
             Set<String> usedInOtherZone = new HashSet<>();
             for (int i = 0; i < 30; i++) {
-                String server = proxy.at(proxy.request(Proxy.SAFE));
+                String server = proxy.latestServer(proxy.request(FakeProxy.SAFE));
                 if (server != null && Integer.parseInt(server.substring(1)) >= 6) {
                     usedInOtherZone.add(server);
                 }
@@ -1011,23 +1023,23 @@
 
         @Test
         void ejectedServersOfTheSubsetAreReplaced() {
-            Proxy.Setup setup = setup();
-            setup.copies = SERVER_COUNT;
+            FakeProxy.Setup setup = setup();
+            setup.replicas = SERVER_COUNT;
             setup.callsPerConnection = 1;
-            Proxy proxy = new Proxy(setup).with(serverIds(SERVER_COUNT));
+            FakeProxy proxy = new FakeProxy(setup).withServers(serverIds(SERVER_COUNT));
             Set<String> before = new HashSet<>();
             Set<String> after = new HashSet<>();
             for (int i = 0; i < SERVER_COUNT; i++) {
                 before.add(proxy.serve());
             }
             for (int i = 0; i < 10 * before.size(); i++) {
-                proxy.pass(10);
-                String request = proxy.request(Proxy.SAFE);
-                while (before.contains(proxy.at(request)) && !proxy.did("fail " + request)
-                        && !proxy.did("refuse " + request)) {
-                    proxy.end(request, Outcome.CONNECT_FAILED);
+                proxy.advanceTime(10);
+                String request = proxy.request(FakeProxy.SAFE);
+                while (before.contains(proxy.latestServer(request)) && !proxy.hasAction("fail " + request)
+                        && !proxy.hasAction("refuse " + request)) {
+                    proxy.endAttempt(request, Outcome.CONNECT_FAILED);
                 }
-                proxy.end(request, Outcome.OK);
+                proxy.endAttempt(request, Outcome.OK);
             }
             for (int i = 0; i < 10 * before.size(); i++) {
                 after.add(proxy.serve());
@@ -1060,11 +1072,11 @@
             int callsToNewServer = 0;
             int callsToWarmServers = 0;
             for (int seed = 0; seed < 20; seed++) {
-                Proxy proxy = new Proxy(setup(), seed).with("a", "b", "c", "d");
+                FakeProxy proxy = new FakeProxy(setup(), seed).withServers("a", "b", "c", "d");
                 for (int i = 0; i < 20; i++) {
                     proxy.serve();
                 }
-                proxy.change("new", proxy.now, ServerStatus.UP);
+                proxy.changeServer("new", proxy.nowUs, ServerStatus.UP);
                 for (int i = 0; i < 40; i++) {
                     String server = proxy.serve();
                     callsToNewServer += server.equals("new") ? 1 : 0;
@@ -1081,11 +1093,11 @@
         void replicasDoNotAllSendTheirNextCallToANewServer() {
             int replicasUsingNewServer = 0;
             for (int seed = 0; seed < 40; seed++) {
-                Proxy proxy = new Proxy(setup(), seed).with("a", "b", "c", "d");
+                FakeProxy proxy = new FakeProxy(setup(), seed).withServers("a", "b", "c", "d");
                 for (int i = 0; i < 20; i++) {
                     proxy.serve();
                 }
-                proxy.change("new", proxy.now, ServerStatus.UP);
+                proxy.changeServer("new", proxy.nowUs, ServerStatus.UP);
                 replicasUsingNewServer += "new".equals(proxy.serve()) ? 1 : 0;
             }
             assertTrue(replicasUsingNewServer < 12,
@@ -1102,17 +1114,17 @@
         private int replicasThatUseANewServer(long serverAgeMs, int callsPerReplica) {
             int replicasUsingNewServer = 0;
             for (int replicaIndex = 0; replicaIndex < 200; replicaIndex++) {
-                Proxy.Setup setup = setup();
-                setup.copies = 200;
+                FakeProxy.Setup setup = setup();
+                setup.replicas = 200;
                 setup.probes = true;
-                setup.copy = replicaIndex;
-                Proxy proxy = new Proxy(setup, replicaIndex).with(serverIds(20));
+                setup.replicaIndex = replicaIndex;
+                FakeProxy proxy = new FakeProxy(setup, replicaIndex).withServers(serverIds(20));
                 for (int i = 0; i < 30; i++) {
                     proxy.serve();
-                    proxy.pass(1_000);
+                    proxy.advanceTime(1_000);
                 }
-                proxy.change("new", proxy.now, ServerStatus.UP);
-                proxy.pass(serverAgeMs);
+                proxy.changeServer("new", proxy.nowUs, ServerStatus.UP);
+                proxy.advanceTime(serverAgeMs);
                 boolean usedNewServer = false;
                 for (int i = 0; i < callsPerReplica; i++) {
                     usedNewServer |= proxy.serve().equals("new");
@@ -1143,11 +1155,11 @@
 
         @Test
         void aServerRestartedUnderTheSameIdGetsASlowStart() {
-            Proxy proxy = new Proxy(setup()).with("a", "b");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
             for (int i = 0; i < 10; i++) {
                 proxy.serve();
             }
-            proxy.change("a", proxy.now, ServerStatus.UP);
+            proxy.changeServer("a", proxy.nowUs, ServerStatus.UP);
             int calls = 0;
             for (int i = 0; i < 10; i++) {
                 calls += proxy.serve().equals("a") ? 1 : 0;
@@ -1161,80 +1173,81 @@
     class ProbingAndOverload {
 
         /** Returns a setup in which servers may be probed for their load. */
-        private Proxy.Setup setupWithProbes() {
-            Proxy.Setup setup = setup();
+        private FakeProxy.Setup setupWithProbes() {
+            FakeProxy.Setup setup = setup();
             setup.probes = true;
             return setup;
         }
 
         @Test
         void probesTwoServersAndTakesTheFirstIdleOne() {
-            Proxy proxy = new Proxy(setupWithProbes()).with("a", "b", "c", "d");
-            proxy.report("d", 3);
-            String request = proxy.request(Proxy.SAFE);
-            assertEquals(2, proxy.count("probe"));
-            assertNull(proxy.at(request));
-            String busy = proxy.done.get(0).substring(6);
-            String idle = proxy.done.get(1).substring(6);
-            proxy.now += MS;
-            proxy.report(busy, 1);
-            assertNull(proxy.at(request));
-            proxy.report(idle, 0);
-            assertEquals(idle, proxy.at(request));
+            FakeProxy proxy = new FakeProxy(setupWithProbes()).withServers("a", "b", "c", "d");
+            proxy.reportLoad("d", 3);
+            String request = proxy.request(FakeProxy.SAFE);
+            assertEquals(2, proxy.countActions("probe"));
+            assertNull(proxy.latestServer(request));
+            String busy = proxy.actions.get(0).substring(6);
+            String idle = proxy.actions.get(1).substring(6);
+            proxy.nowUs += MS;
+            proxy.reportLoad(busy, 1);
+            assertNull(proxy.latestServer(request));
+            proxy.reportLoad(idle, 0);
+            assertEquals(idle, proxy.latestServer(request));
         }
 
         @Test
         void aServerThatIsNeverIdleIsNotProbedFirstEachTime() {
             // Hung servers keep their backlog and are never assigned a call. If each call probed them first,
             // the load they report would be taken for that of all others, until nothing was sent any more.
-            Proxy proxy = new Proxy(setupWithProbes()).with("a", "b", "c", "d", "e", "f", "g", "h");
+            FakeProxy proxy = new FakeProxy(setupWithProbes())
+                    .withServers("a", "b", "c", "d", "e", "f", "g", "h");
             for (int i = 0; i < 60; i++) {
-                int nextAction = proxy.done.size();
-                String request = proxy.request(Proxy.SAFE);
-                proxy.pass(1);
-                for (; nextAction < proxy.done.size(); nextAction++) {
-                    String line = proxy.done.get(nextAction);
+                int nextAction = proxy.actions.size();
+                String request = proxy.request(FakeProxy.SAFE);
+                proxy.advanceTime(1);
+                for (; nextAction < proxy.actions.size(); nextAction++) {
+                    String line = proxy.actions.get(nextAction);
                     if (line.startsWith("probe")) {
-                        proxy.report(line.substring(6), line.endsWith("a") || line.endsWith("b") ? 6 : 0);
+                        proxy.reportLoad(line.substring(6), line.endsWith("a") || line.endsWith("b") ? 6 : 0);
                     }
                 }
-                proxy.pass(5);
-                assertNotNull(proxy.at(request), "request " + i + " was not sent");
-                proxy.pass(50);
-                proxy.end(request, Outcome.OK);
-                proxy.pass(500);
+                proxy.advanceTime(5);
+                assertNotNull(proxy.latestServer(request), "request " + i + " was not sent");
+                proxy.advanceTime(50);
+                proxy.endAttempt(request, Outcome.OK);
+                proxy.advanceTime(500);
             }
-            assertTrue(proxy.count("probe a") + proxy.count("probe b") < 45,
-                    "probes of the busy server a: " + proxy.count("probe a"));
+            assertTrue(proxy.countActions("probe a") + proxy.countActions("probe b") < 45,
+                    "probes of the busy server a: " + proxy.countActions("probe a"));
         }
 
         @Test
         void probesOneServerAtATimeUnderLightLoad() {
             // Under light load a second probe for each call costs more than it gains.
-            Proxy proxy = new Proxy(setupWithProbes()).with("a", "b", "c", "d");
-            String request = proxy.request(Proxy.SAFE);
-            assertEquals(1, proxy.count("probe"));
-            String probed = proxy.done.get(0).substring(6);
-            proxy.now += MS;
-            proxy.report(probed, 0);
-            assertEquals(probed, proxy.at(request));
+            FakeProxy proxy = new FakeProxy(setupWithProbes()).withServers("a", "b", "c", "d");
+            String request = proxy.request(FakeProxy.SAFE);
+            assertEquals(1, proxy.countActions("probe"));
+            String probed = proxy.actions.get(0).substring(6);
+            proxy.nowUs += MS;
+            proxy.reportLoad(probed, 0);
+            assertEquals(probed, proxy.latestServer(request));
         }
 
         /** Returns a proxy after twelve served calls, all of whose probes were answered as idle. */
-        private Proxy proxyAfterServedCalls(String... servers) {
-            Proxy proxy = new Proxy(setupWithProbes()).with(servers);
+        private FakeProxy proxyAfterServedCalls(String... servers) {
+            FakeProxy proxy = new FakeProxy(setupWithProbes()).withServers(servers);
             for (int i = 0; i < 12; i++) {
-                int nextAction = proxy.done.size();
-                String request = proxy.request(Proxy.SAFE);
-                proxy.pass(1);
-                for (; nextAction < proxy.done.size(); nextAction++) {
-                    if (proxy.done.get(nextAction).startsWith("probe")) {
-                        proxy.report(proxy.done.get(nextAction).substring(6), 0);
+                int nextAction = proxy.actions.size();
+                String request = proxy.request(FakeProxy.SAFE);
+                proxy.advanceTime(1);
+                for (; nextAction < proxy.actions.size(); nextAction++) {
+                    if (proxy.actions.get(nextAction).startsWith("probe")) {
+                        proxy.reportLoad(proxy.actions.get(nextAction).substring(6), 0);
                     }
                 }
-                proxy.pass(50);
-                proxy.end(request, Outcome.OK);
-                proxy.pass(100);
+                proxy.advanceTime(50);
+                proxy.endAttempt(request, Outcome.OK);
+                proxy.advanceTime(100);
             }
             return proxy;
         }
@@ -1246,11 +1259,11 @@
          * @param inFlight the load that the servers report
          * @param unreachable ids of the servers that do not answer, separated by spaces
          */
-        private void answerProbes(Proxy proxy, int firstAction, int inFlight, String unreachable) {
-            for (int i = firstAction; i < proxy.done.size(); i++) {
-                String[] words = proxy.done.get(i).split(" ");
+        private void answerProbes(FakeProxy proxy, int firstAction, int inFlight, String unreachable) {
+            for (int i = firstAction; i < proxy.actions.size(); i++) {
+                String[] words = proxy.actions.get(i).split(" ");
                 if (words[0].equals("probe") && !unreachable.contains(words[1])) {
-                    proxy.report(words[1], inFlight);
+                    proxy.reportLoad(words[1], inFlight);
                 }
             }
         }
@@ -1259,13 +1272,13 @@
         void aServerWithAnUnansweredProbeIsNotTakenNext() {
             // The server that is next in order is probed first. If it does not answer, the call must not be
             // sent to it for being next.
-            Proxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
-            int actionsBefore = proxy.done.size();
-            String request = proxy.request(Proxy.SAFE);
-            String silentServer = proxy.done.get(actionsBefore).substring(6);
-            proxy.pass(50);
-            assertNotNull(proxy.at(request));
-            assertNotEquals(silentServer, proxy.at(request));
+            FakeProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
+            int actionsBefore = proxy.actions.size();
+            String request = proxy.request(FakeProxy.SAFE);
+            String silentServer = proxy.actions.get(actionsBefore).substring(6);
+            proxy.advanceTime(50);
+            assertNotNull(proxy.latestServer(request));
+            assertNotEquals(silentServer, proxy.latestServer(request));
         }
 
         @Test
@@ -1273,85 +1286,86 @@
             // In a zone cut off from the others more than half of the servers are unreachable. Not all of
             // them are ejected, as half of the servers must stay available; the rest would look idle and
             // attract each call that finds the reachable servers busy.
-            Proxy proxy = proxyAfterServedCalls("a", "b", "c");
+            FakeProxy proxy = proxyAfterServedCalls("a", "b", "c");
             for (String unreachable : List.of("a", "b", "a", "b")) {
-                proxy.logic.probeResult(proxy.now, unreachable, Outcome.TIMEOUT, 50 * MS, null);
+                proxy.logic.probeResult(proxy.nowUs, unreachable, Outcome.TIMEOUT, 50 * MS, null);
             }
-            int firstAction = proxy.done.size();
-            String request = proxy.request(Proxy.SAFE);
+            int firstAction = proxy.actions.size();
+            String request = proxy.request(FakeProxy.SAFE);
             for (int i = 0; i < 4; i++) {
-                proxy.pass(2);
+                proxy.advanceTime(2);
                 answerProbes(proxy, firstAction, 1, "a b");
-                firstAction = proxy.done.size();
+                firstAction = proxy.actions.size();
             }
-            proxy.pass(10);
-            assertEquals("c", proxy.at(request));
+            proxy.advanceTime(10);
+            assertEquals("c", proxy.latestServer(request));
         }
 
         @Test
         void theNewestQueuedCallGoesFirstAndNoneThatWouldProbablyBeLate() {
             // Sent in the order of arrival, under overload each call would be sent at the last moment and
             // most responses would be late.
-            Proxy proxy = new Proxy(setup()).with("a");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
             for (int i = 0; i < 12; i++) {
                 proxy.serve();
             }
             List<String> sent = new ArrayList<>();
             List<String> queued = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                String request = proxy.request(Proxy.SAFE);
-                (proxy.at(request) == null ? queued : sent).add(request);
+                String request = proxy.request(FakeProxy.SAFE);
+                (proxy.latestServer(request) == null ? queued : sent).add(request);
             }
             assertTrue(queued.size() > 1, "queued: " + queued);
-            proxy.pass(100);
-            proxy.end(sent.get(0), Outcome.OK);
+            proxy.advanceTime(100);
+            proxy.endAttempt(sent.get(0), Outcome.OK);
             String newest = queued.get(queued.size() - 1);
-            for (int i = 1; i < sent.size() && proxy.at(newest) == null; i++) {
-                proxy.end(sent.get(i), Outcome.OK);
+            for (int i = 1; i < sent.size() && proxy.latestServer(newest) == null; i++) {
+                proxy.endAttempt(sent.get(i), Outcome.OK);
             }
-            assertNotNull(proxy.at(newest));
-            assertNull(proxy.at(queued.get(0)));
-            proxy.pass(260);
+            assertNotNull(proxy.latestServer(newest));
+            assertNull(proxy.latestServer(queued.get(0)));
+            proxy.advanceTime(260);
             for (String request : sent) {
-                proxy.logic.outcome(proxy.now, request, 0, "a", Outcome.OK, 360 * MS, true, null);
+                proxy.logic.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, 360 * MS, true, null);
             }
             for (String request : queued) {
-                assertTrue(proxy.at(request) != null || proxy.did("refuse " + request)
-                        || proxy.did("fail " + request), request);
+                assertTrue(proxy.latestServer(request) != null || proxy.hasAction("refuse " + request)
+                        || proxy.hasAction("fail " + request), request);
             }
-            assertNull(proxy.at(queued.get(0)), "sent with 40 of 400 ms left");
+            assertNull(proxy.latestServer(queued.get(0)), "sent with 40 of 400 ms left");
         }
 
         @Test
         void sendsACallThoughNoProbeIsAnswered() {
-            Proxy proxy = new Proxy(setupWithProbes()).with("a", "b", "c", "d");
-            String request = proxy.request(Proxy.SAFE);
-            proxy.pass(50);
-            assertNotNull(proxy.at(request));
+            FakeProxy proxy = new FakeProxy(setupWithProbes()).withServers("a", "b", "c", "d");
+            String request = proxy.request(FakeProxy.SAFE);
+            proxy.advanceTime(50);
+            assertNotNull(proxy.latestServer(request));
         }
 
         @Test
         void sendsNoProbesWhereTheyAreNotAllowed() {
-            Proxy proxy = new Proxy(setup()).with("a", "b");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
             proxy.serve();
-            assertEquals(0, proxy.count("probe"));
+            assertEquals(0, proxy.countActions("probe"));
         }
 
         @Test
         void sendsNothingThatCouldNotBeAnsweredInTime() {
             // Queues of late work at every replica would keep the whole tier busy with responses that miss
             // the latency goal.
-            Proxy proxy = new Proxy(setup()).with("a", "b");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
             for (int i = 0; i < 10; i++) {
                 proxy.serve();
             }
             for (int i = 0; i < 60; i++) {
-                proxy.request(Proxy.SAFE);
+                proxy.request(FakeProxy.SAFE);
             }
-            int sent = proxy.count("send") - 10;
+            int sent = proxy.countActions("send") - 10;
             assertTrue(sent < 12, "sent at once: " + sent);
-            proxy.pass(1_000);
-            assertEquals(60, sent + proxy.count("fail") + proxy.count("refuse") + proxy.count("send") - 10
+            proxy.advanceTime(1_000);
+            assertEquals(60, sent + proxy.countActions("fail") + proxy.countActions("refuse")
+                    + proxy.countActions("send") - 10
                     - sent);
         }
 
@@ -1359,59 +1373,62 @@
         void overQuotaRequestsAreRefusedWhileNoServerIsIdle() {
             // Under overload, over-quota requests, which have little value, would displace those within
             // quota.
-            Proxy.Setup setup = setup();
-            setup.quota = 10;
-            Proxy proxy = new Proxy(setup).with("a", "b");
+            FakeProxy.Setup setup = setup();
+            setup.quotaPerSecond = 10;
+            FakeProxy proxy = new FakeProxy(setup).withServers("a", "b");
             for (int i = 0; i < 12; i++) {
                 proxy.serve();
             }
             for (int i = 0; i < 60; i++) {
-                String request = proxy.request(Proxy.SAFE, 1);
-                assertNotNull(proxy.at(request), "an over-quota request must be sent while a server is idle");
-                proxy.pass(1);
-                proxy.end(request, Outcome.OK);
-            }
-            proxy.request(Proxy.SAFE);
-            proxy.request(Proxy.SAFE);
-            String overQuota = proxy.request(Proxy.SAFE, 1);
-            assertTrue(proxy.did("refuse " + overQuota),
+                String request = proxy.request(FakeProxy.SAFE, 1);
+                assertNotNull(proxy.latestServer(request),
+                        "an over-quota request must be sent while a server is idle");
+                proxy.advanceTime(1);
+                proxy.endAttempt(request, Outcome.OK);
+            }
+            proxy.request(FakeProxy.SAFE);
+            proxy.request(FakeProxy.SAFE);
+            String overQuota = proxy.request(FakeProxy.SAFE, 1);
+            assertTrue(proxy.hasAction("refuse " + overQuota),
                     "an over-quota request was not refused although no server is idle");
-            assertNotNull(proxy.at(proxy.request(Proxy.SAFE)),
+            assertNotNull(proxy.latestServer(proxy.request(FakeProxy.SAFE)),
                     "requests of a tenant without a quota must still be sent");
-            proxy.pass(10_000);
-            proxy.request(Proxy.SAFE);
-            proxy.request(Proxy.SAFE);
-            assertNotNull(proxy.at(proxy.request(Proxy.SAFE, 1)),
+            proxy.advanceTime(10_000);
+            proxy.request(FakeProxy.SAFE);
+            proxy.request(FakeProxy.SAFE);
+            assertNotNull(proxy.latestServer(proxy.request(FakeProxy.SAFE, 1)),
                     "after a pause the tenant is within its quota again");
         }
 
         /** Returns how many of 40 simultaneous calls are sent to two servers that served 30 calls before. */
-        private int sentAtOnce(Proxy.Setup setup, int requestClass) {
-            Proxy proxy = new Proxy(setup).with("a", "b");
+        private int sentAtOnce(FakeProxy.Setup setup, int requestClass) {
+            FakeProxy proxy = new FakeProxy(setup).withServers("a", "b");
             for (int i = 0; i < 30; i++) {
                 proxy.serve();
             }
             for (int i = 0; i < 40; i++) {
                 proxy.request(requestClass);
             }
-            return proxy.count("send") - 30;
+            return proxy.countActions("send") - 30;
         }
 
         @Test
         void aMoreValuableCallIsSentWhereTheLeastValuableMustWait() {
-            Proxy.Setup setup = setup();
-            setup.more = List.of(new RequestClass("valuable", 400 * MS, 1_000 * MS, 10, 0, Effect.SAFE,
+            FakeProxy.Setup setup = setup();
+            setup.extraClasses = List.of(new RequestClass("valuable", 400 * MS, 1_000 * MS, 10, 0,
+                    Effect.SAFE,
                     DedupScope.ALL, 0));
-            Proxy proxy = new Proxy(setup).with("a");
+            FakeProxy proxy = new FakeProxy(setup).withServers("a");
             for (int i = 0; i < 20; i++) {
                 proxy.serve();
             }
-            String lastRequest = proxy.request(Proxy.SAFE);
-            for (int i = 0; i < 20 && proxy.at(lastRequest) != null; i++) {
-                lastRequest = proxy.request(Proxy.SAFE);
+            String lastRequest = proxy.request(FakeProxy.SAFE);
+            for (int i = 0; i < 20 && proxy.latestServer(lastRequest) != null; i++) {
+                lastRequest = proxy.request(FakeProxy.SAFE);
             }
-            assertNull(proxy.at(lastRequest), "calls of the least valuable class are sent without limit");
-            assertNotNull(proxy.at(proxy.request(4)),
+            assertNull(proxy.latestServer(lastRequest),
+                    "calls of the least valuable class are sent without limit");
+            assertNotNull(proxy.latestServer(proxy.request(4)),
                     "a more valuable call was queued like the least valuable ones");
         }
 
@@ -1419,11 +1436,11 @@
         void classesWithALongerGoalDoNotDisplaceOthersUnlessMoreValuable() {
             // Calls with a longer latency goal would fill all servers until none had room for those with a
             // shorter one, and the servers would be overloaded.
-            Proxy.Setup setup = setup();
-            setup.more = List.of(
+            FakeProxy.Setup setup = setup();
+            setup.extraClasses = List.of(
                     new RequestClass("long", 800 * MS, 1_000 * MS, 1, 0, Effect.SAFE, DedupScope.ALL, 0),
                     new RequestClass("valuable", 800 * MS, 1_000 * MS, 2, 0, Effect.SAFE, DedupScope.ALL, 0));
-            int sentWithUsualGoal = sentAtOnce(setup, Proxy.SAFE);
+            int sentWithUsualGoal = sentAtOnce(setup, FakeProxy.SAFE);
             assertEquals(sentWithUsualGoal, sentAtOnce(setup, 4));
             assertTrue(sentAtOnce(setup, 5) > sentWithUsualGoal);
         }
@@ -1433,79 +1450,81 @@
             // The time left of a client's last try is all that is left of its deadline, which shows when its
             // first try was made. Without this check, overloaded servers would work on responses that miss
             // the latency goal by far.
-            Proxy proxy = new Proxy(setup()).with("a", "b");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
             for (int i = 0; i < 12; i++) {
                 proxy.serve();
             }
             long firstTryUs = 600 * MS;
-            proxy.logic.request(proxy.now, new Request("first", Proxy.SAFE, 0, firstTryUs, 0, false));
-            proxy.logic.request(proxy.now, new Request("again", Proxy.SAFE, 0, firstTryUs, 0, true));
-            proxy.logic.request(proxy.now, new Request("soon", Proxy.SAFE, 0, 900 * MS, 0, true));
-            proxy.logic.request(proxy.now, new Request("late", Proxy.SAFE, 0, 500 * MS, 0, true));
-            assertNotNull(proxy.at("first"));
-            assertNotNull(proxy.at("again"),
+            proxy.logic.request(proxy.nowUs, new Request("first", FakeProxy.SAFE, 0, firstTryUs, 0, false));
+            proxy.logic.request(proxy.nowUs, new Request("again", FakeProxy.SAFE, 0, firstTryUs, 0, true));
+            proxy.logic.request(proxy.nowUs, new Request("soon", FakeProxy.SAFE, 0, 900 * MS, 0, true));
+            proxy.logic.request(proxy.nowUs, new Request("late", FakeProxy.SAFE, 0, 500 * MS, 0, true));
+            assertNotNull(proxy.latestServer("first"));
+            assertNotNull(proxy.latestServer("again"),
                     "a retry with the time of a first try does not show when that one was made");
-            assertNotNull(proxy.at("soon"), "100 of the 400 ms of the latency goal have passed");
-            assertNull(proxy.at("late"), "500 ms have passed, more than the latency goal of 400 ms");
-            assertTrue(proxy.did("fail late") || proxy.did("refuse late"));
+            assertNotNull(proxy.latestServer("soon"), "100 of the 400 ms of the latency goal have passed");
+            assertNull(proxy.latestServer("late"),
+                    "500 ms have passed, more than the latency goal of 400 ms");
+            assertTrue(proxy.hasAction("fail late") || proxy.hasAction("refuse late"));
         }
 
         @Test
         void anOverdueCallDelaysItsServersNextUseBeyondItsDegradation() {
             // A replica with few calls uses each server less often than a degradation lasts. If nothing else
             // delayed the next use, overloaded servers would keep their full share of the calls.
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c", "d", "e", "f");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d", "e", "f");
             for (int i = 0; i < 12; i++) {
                 proxy.serve();
-                proxy.pass(700);
+                proxy.advanceTime(700);
             }
-            String overdueRequest = proxy.request(Proxy.UNSAFE);
-            String slowServer = proxy.at(overdueRequest);
-            proxy.pass(700);
-            proxy.end(overdueRequest, Outcome.OK);
-            proxy.pass(3_000);
+            String overdueRequest = proxy.request(FakeProxy.UNSAFE);
+            String slowServer = proxy.latestServer(overdueRequest);
+            proxy.advanceTime(700);
+            proxy.endAttempt(overdueRequest, Outcome.OK);
+            proxy.advanceTime(3_000);
             for (int i = 0; i < 8; i++) {
                 assertNotEquals(slowServer, proxy.serve(), "call " + i + " after the overdue one");
-                proxy.pass(700);
+                proxy.advanceTime(700);
             }
         }
 
         @Test
         void aSlowPeriodDoesNotStopLaterCallsFromBeingSent() {
-            Proxy proxy = new Proxy(setup()).with("a", "b");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
             for (int i = 0; i < 40; i++) {
-                String request = proxy.request(Proxy.SAFE);
-                proxy.pass(900);
-                if (proxy.at(request) != null) {
-                    proxy.logic.outcome(proxy.now, request, 0, proxy.at(request), Outcome.OK, 900 * MS, true,
+                String request = proxy.request(FakeProxy.SAFE);
+                proxy.advanceTime(900);
+                if (proxy.latestServer(request) != null) {
+                    proxy.logic.outcome(proxy.nowUs, request, 0, proxy.latestServer(request), Outcome.OK,
+                            900 * MS, true,
                             null);
                 }
             }
-            int sentBefore = proxy.count("send");
+            int sentBefore = proxy.countActions("send");
             for (int i = 0; i < 300; i++) {
-                String request = proxy.request(Proxy.SAFE);
-                proxy.pass(50);
-                if (proxy.at(request) != null) {
-                    proxy.end(request, Outcome.OK);
+                String request = proxy.request(FakeProxy.SAFE);
+                proxy.advanceTime(50);
+                if (proxy.latestServer(request) != null) {
+                    proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            assertTrue(proxy.count("send") - sentBefore > 100,
-                    "calls sent after the slow period: " + (proxy.count("send") - sentBefore));
+            assertTrue(proxy.countActions("send") - sentBefore > 100,
+                    "calls sent after the slow period: " + (proxy.countActions("send") - sentBefore));
         }
     }
 
     @Test
     void invalidSettingsAreRejectedByName() {
-        Proxy.Setup setup = setup();
+        FakeProxy.Setup setup = setup();
         setup.maxAttempts = 0;
-        var exception = assertThrows(IllegalArgumentException.class, () -> new Proxy(setup));
+        var exception = assertThrows(IllegalArgumentException.class, () -> new FakeProxy(setup));
         assertTrue(exception.getMessage().startsWith("limits.maxAttempts"), exception.getMessage());
         setup.maxAttempts = 1;
         setup.coldFrom = 0;
-        exception = assertThrows(IllegalArgumentException.class, () -> new Proxy(setup));
+        exception = assertThrows(IllegalArgumentException.class, () -> new FakeProxy(setup));
         assertTrue(exception.getMessage().startsWith("rules.coldFrom"), exception.getMessage());
         assertThrows(IllegalArgumentException.class, () -> new LeastLoadedBalancer(null, 1, null));
-        assertFalse(new Proxy(setup()).did("anything"));
+        assertFalse(new FakeProxy(setup()).hasAction("anything"));
     }
 
     /** Queued calls are reconsidered once a server becomes available to them or their time runs short. */
@@ -1518,11 +1537,11 @@
         private static final int SECOND_ADDED_CLASS = 5;
 
         /** Returns a proxy with four servers that have their full capacity at once when they start. */
-        private Proxy proxyWithoutSlowStart(RequestClass... addedClasses) {
-            Proxy.Setup setup = setup();
+        private FakeProxy proxyWithoutSlowStart(RequestClass... addedClasses) {
+            FakeProxy.Setup setup = setup();
             setup.coldFrom = 1;
-            setup.more = List.of(addedClasses);
-            return new Proxy(setup).with("a", "b", "c", "d");
+            setup.extraClasses = List.of(addedClasses);
+            return new FakeProxy(setup).withServers("a", "b", "c", "d");
         }
 
         private RequestClass requestClass(Effect effect, DedupScope dedupScope, Set<Integer> allowedZones) {
@@ -1530,52 +1549,53 @@
                     allowedZones, null);
         }
 
-        private void disable(Proxy proxy, String... servers) {
+        private void disable(FakeProxy proxy, String... servers) {
             for (String server : servers) {
-                proxy.logic.disable(proxy.now, server);
+                proxy.logic.disable(proxy.nowUs, server);
             }
         }
 
         @Test
         void theNewestGoToTheFreedServerAtEachOutcome() {
-            Proxy proxy = new Proxy(setup()).with("a");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
             for (int i = 0; i < 12; i++) {
                 proxy.serve();
             }
             List<String> sent = new ArrayList<>();
             List<String> queued = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                String request = proxy.request(Proxy.SAFE);
-                (proxy.at(request) == null ? queued : sent).add(request);
+                String request = proxy.request(FakeProxy.SAFE);
+                (proxy.latestServer(request) == null ? queued : sent).add(request);
             }
             for (int i = 0; i < 4; i++) {
-                proxy.end(sent.get(i), Outcome.OK);
+                proxy.endAttempt(sent.get(i), Outcome.OK);
                 int queuedBefore = queued.size();
-                while (!queued.isEmpty() && proxy.at(queued.get(queued.size() - 1)) != null) {
+                while (!queued.isEmpty() && proxy.latestServer(queued.get(queued.size() - 1)) != null) {
                     sent.add(queued.remove(queued.size() - 1));
                 }
                 assertTrue(queued.size() < queuedBefore, "outcome " + i + " sent no queued call");
-                assertTrue(queued.stream().allMatch(request -> proxy.at(request) == null),
+                assertTrue(queued.stream().allMatch(request -> proxy.latestServer(request) == null),
                         "outcome " + i + " sent an older call before a newer one");
             }
         }
 
         @Test
         void eachIsEndedAsSoonAsItsTimeRunsShort() {
-            Proxy proxy = proxyWithoutSlowStart();
+            FakeProxy proxy = proxyWithoutSlowStart();
             proxy.serve();
             disable(proxy, "a", "b", "c", "d");
             Map<String, Long> receivedAtUs = new HashMap<>();
             Map<String, Long> waitedUs = new HashMap<>();
             for (int ms = 0; ms < 1_000; ms++) {
                 if (ms % 5 == 0 && ms < 500) {
-                    receivedAtUs.put(proxy.request(ms % 10 == 0 ? Proxy.SAFE : Proxy.UNSAFE), proxy.now);
+                    receivedAtUs.put(proxy.request(ms % 10 == 0 ? FakeProxy.SAFE : FakeProxy.UNSAFE),
+                            proxy.nowUs);
                 }
-                proxy.pass(1);
-                proxy.done.stream().filter(line -> line.startsWith("refuse ") || line.startsWith("fail "))
+                proxy.advanceTime(1);
+                proxy.actions.stream().filter(line -> line.startsWith("refuse ") || line.startsWith("fail "))
                         .map(line -> line.substring(line.indexOf(' ') + 1))
                         .forEach(request -> waitedUs.putIfAbsent(request,
-                        proxy.now - receivedAtUs.get(request)));
+                        proxy.nowUs - receivedAtUs.get(request)));
             }
             assertEquals(receivedAtUs.keySet(), waitedUs.keySet());
             // A call is useful for 400 ms and is given up when less than 1.4 times the usual 50 ms of a call
@@ -1586,33 +1606,33 @@
 
         @Test
         void aServerIsUsedAsSoonAsItsEjectionExpires() {
-            Proxy proxy = new Proxy(setup()).with("a");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
             for (int i = 0; i < 2; i++) {
-                proxy.end(proxy.request(Proxy.SAFE), Outcome.CONNECT_FAILED);
-                proxy.pass(i == 0 ? 1_000 : 2_900);
+                proxy.endAttempt(proxy.request(FakeProxy.SAFE), Outcome.CONNECT_FAILED);
+                proxy.advanceTime(i == 0 ? 1_000 : 2_900);
             }
-            String first = proxy.request(Proxy.SAFE);
-            String second = proxy.request(Proxy.SAFE);
-            proxy.pass(98);
-            assertNull(proxy.at(first));
-            proxy.pass(4);
-            assertEquals("a", proxy.at(first));
-            assertEquals("a", proxy.at(second));
+            String first = proxy.request(FakeProxy.SAFE);
+            String second = proxy.request(FakeProxy.SAFE);
+            proxy.advanceTime(98);
+            assertNull(proxy.latestServer(first));
+            proxy.advanceTime(4);
+            assertEquals("a", proxy.latestServer(first));
+            assertEquals("a", proxy.latestServer(second));
         }
 
         @Test
         void aReenabledServerIsUsedAtOnce() {
-            Proxy proxy = proxyWithoutSlowStart();
+            FakeProxy proxy = proxyWithoutSlowStart();
             disable(proxy, "a", "b", "c", "d");
-            List<String> queued = List.of(proxy.request(Proxy.SAFE), proxy.request(Proxy.UNSAFE));
-            proxy.logic.enable(proxy.now, "c");
-            queued.forEach(request -> assertEquals("c", proxy.at(request)));
+            List<String> queued = List.of(proxy.request(FakeProxy.SAFE), proxy.request(FakeProxy.UNSAFE));
+            proxy.logic.enable(proxy.nowUs, "c");
+            queued.forEach(request -> assertEquals("c", proxy.latestServer(request)));
         }
 
         /** Newer queued calls that may not use the server, however many, must not block one that may. */
         @Test
         void aReenabledServerGetsTheCallsThatMayUseIt() {
-            Proxy proxy = proxyWithoutSlowStart(requestClass(Effect.SAFE, DedupScope.ALL, Set.of(0)),
+            FakeProxy proxy = proxyWithoutSlowStart(requestClass(Effect.SAFE, DedupScope.ALL, Set.of(0)),
                     requestClass(Effect.SAFE, DedupScope.ALL, Set.of(1)));
             disable(proxy, "a", "b", "c", "d");
             String allowedInZone0 = proxy.request(FIRST_ADDED_CLASS);
@@ -1620,28 +1640,28 @@
             for (int i = 0; i < 20; i++) {
                 allowedInZone1.add(proxy.request(SECOND_ADDED_CLASS));
             }
-            proxy.logic.enable(proxy.now, "a");
-            assertEquals("a", proxy.at(allowedInZone0));
-            allowedInZone1.forEach(request -> assertNull(proxy.at(request)));
+            proxy.logic.enable(proxy.nowUs, "a");
+            assertEquals("a", proxy.latestServer(allowedInZone0));
+            allowedInZone1.forEach(request -> assertNull(proxy.latestServer(request)));
         }
 
         @Test
         void aQueuedRetryGoesOnlyToItsDedupCell() {
-            Proxy proxy = proxyWithoutSlowStart(requestClass(Effect.KEYED, DedupScope.CELL, null));
+            FakeProxy proxy = proxyWithoutSlowStart(requestClass(Effect.KEYED, DedupScope.CELL, null));
             disable(proxy, "b", "d");
             Map<String, String> firstServers = new HashMap<>();
             for (int i = 0; i < 4; i++) {
                 String request = proxy.request(FIRST_ADDED_CLASS);
-                firstServers.put(request, proxy.at(request));
+                firstServers.put(request, proxy.latestServer(request));
             }
             assertEquals(Set.of("a", "c"), new HashSet<>(firstServers.values()));
-            firstServers.keySet().forEach(request -> proxy.end(request, Outcome.RESET));
-            proxy.logic.enable(proxy.now, "b");
+            firstServers.keySet().forEach(request -> proxy.endAttempt(request, Outcome.RESET));
+            proxy.logic.enable(proxy.nowUs, "b");
             firstServers.forEach((request, firstServer) ->
-                    assertEquals(firstServer.equals("a") ? "b" : "c", proxy.at(request)));
-            proxy.logic.enable(proxy.now, "d");
+                    assertEquals(firstServer.equals("a") ? "b" : "c", proxy.latestServer(request)));
+            proxy.logic.enable(proxy.nowUs, "d");
             firstServers.forEach((request, firstServer) ->
-                    assertEquals(firstServer.equals("a") ? "b" : "d", proxy.at(request)));
+                    assertEquals(firstServer.equals("a") ? "b" : "d", proxy.latestServer(request)));
         }
     }
 
@@ -1651,26 +1671,26 @@
 
         @Test
         void aDisabledServerGetsNoRequests() {
-            Proxy proxy = new Proxy(setup()).with("a", "b");
-            proxy.logic.disable(proxy.now, "a");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
+            proxy.logic.disable(proxy.nowUs, "a");
             assertTrue(proxy.logic.isDisabled("a"));
             for (int i = 0; i < 6; i++) {
-                assertEquals("b", proxy.at(proxy.request(Proxy.SAFE)));
+                assertEquals("b", proxy.latestServer(proxy.request(FakeProxy.SAFE)));
             }
         }
 
         /** Neither a change list nor a full list nor a restart of the server enables it again. */
         @Test
         void staysDisabledWhateverListsSay() {
-            Proxy proxy = new Proxy(setup()).with("a", "b");
-            proxy.logic.disable(proxy.now, "a");
-            proxy.change("a", 0, ServerStatus.GONE);
-            proxy.change("a", proxy.now, ServerStatus.UP);
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
+            proxy.logic.disable(proxy.nowUs, "a");
+            proxy.changeServer("a", 0, ServerStatus.GONE);
+            proxy.changeServer("a", proxy.nowUs, ServerStatus.UP);
             assertEquals("b", proxy.serve());
-            proxy.logic.serversChanged(proxy.now, ListKind.FULL, List.of(
-                    new Server("a", proxy.now - 1, 0, 0, ServerStatus.UP),
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.FULL, List.of(
+                    new Server("a", proxy.nowUs - 1, 0, 0, ServerStatus.UP),
                     new Server("b", 0, 0, 0, ServerStatus.UP)));
-            proxy.pass(20_000);
+            proxy.advanceTime(20_000);
             for (int i = 0; i < 6; i++) {
                 assertEquals("b", proxy.serve());
             }
@@ -1678,52 +1698,52 @@
 
         @Test
         void retriesAreNotSentToADisabledServer() {
-            Proxy proxy = new Proxy(setup()).with("a", "b");
-            String call = proxy.request(Proxy.SAFE);
-            String otherServer = proxy.at(call).equals("a") ? "b" : "a";
-            proxy.logic.disable(proxy.now, otherServer);
-            proxy.end(call, Outcome.CONNECT_FAILED);
-            assertEquals(1, proxy.attempts.get(call),
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
+            String call = proxy.request(FakeProxy.SAFE);
+            String otherServer = proxy.latestServer(call).equals("a") ? "b" : "a";
+            proxy.logic.disable(proxy.nowUs, otherServer);
+            proxy.endAttempt(call, Outcome.CONNECT_FAILED);
+            assertEquals(1, proxy.attemptCounts.get(call),
                     "the call was retried although the only other server is disabled");
         }
 
         @Test
         void callsWaitWhileAllAreDisabledUntilOneIsEnabled() {
-            Proxy.Setup withoutSlowStart = setup();
+            FakeProxy.Setup withoutSlowStart = setup();
             withoutSlowStart.coldFrom = 1;
-            Proxy proxy = new Proxy(withoutSlowStart).with("a", "b");
-            proxy.logic.disable(proxy.now, "a");
-            proxy.logic.disable(proxy.now, "b");
-            String call = proxy.request(Proxy.SAFE);
-            proxy.pass(100);
-            assertNull(proxy.at(call));
-            proxy.logic.enable(proxy.now, "b");
-            proxy.pass(100);
-            assertEquals("b", proxy.at(call));
+            FakeProxy proxy = new FakeProxy(withoutSlowStart).withServers("a", "b");
+            proxy.logic.disable(proxy.nowUs, "a");
+            proxy.logic.disable(proxy.nowUs, "b");
+            String call = proxy.request(FakeProxy.SAFE);
+            proxy.advanceTime(100);
+            assertNull(proxy.latestServer(call));
+            proxy.logic.enable(proxy.nowUs, "b");
+            proxy.advanceTime(100);
+            assertEquals("b", proxy.latestServer(call));
         }
 
         @Test
         void callsAreEndedWhereAllStayDisabled() {
-            Proxy proxy = new Proxy(setup()).with("a");
-            proxy.logic.disable(proxy.now, "a");
-            String call = proxy.request(Proxy.SAFE);
-            proxy.pass(2_000);
-            assertNull(proxy.at(call));
-            assertEquals(1, proxy.count("refuse " + call) + proxy.count("fail " + call));
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
+            proxy.logic.disable(proxy.nowUs, "a");
+            String call = proxy.request(FakeProxy.SAFE);
+            proxy.advanceTime(2_000);
+            assertNull(proxy.latestServer(call));
+            assertEquals(1, proxy.countActions("refuse " + call) + proxy.countActions("fail " + call));
         }
 
         /** A disabled server was most likely restarted, so it can take only a new server's share. */
         @Test
         void oneEnableEndsSeveralDisablesAndBeginsASlowStart() {
-            Proxy.Setup withSlowStart = setup();
+            FakeProxy.Setup withSlowStart = setup();
             withSlowStart.coldFrom = 0.1;
-            Proxy proxy = new Proxy(withSlowStart).with("a", "b", "c");
+            FakeProxy proxy = new FakeProxy(withSlowStart).withServers("a", "b", "c");
             for (int i = 0; i < 30; i++) {
                 proxy.serve();
             }
-            proxy.logic.disable(proxy.now, "a");
-            proxy.logic.disable(proxy.now, "a");
-            proxy.logic.enable(proxy.now, "a");
+            proxy.logic.disable(proxy.nowUs, "a");
+            proxy.logic.disable(proxy.nowUs, "a");
+            proxy.logic.enable(proxy.nowUs, "a");
             assertFalse(proxy.logic.isDisabled("a"));
             int callsDuringSlowStart = 0;
             for (int i = 0; i < 30; i++) {
@@ -1731,7 +1751,7 @@
             }
             assertTrue(callsDuringSlowStart > 0 && callsDuringSlowStart < 8,
                     "a reenabled server got " + callsDuringSlowStart + " of 30 calls");
-            proxy.pass(8_000);
+            proxy.advanceTime(8_000);
             int callsWhenWarm = 0;
             for (int i = 0; i < 30; i++) {
                 callsWhenWarm += proxy.serve().equals("a") ? 1 : 0;
@@ -1745,28 +1765,29 @@
          */
         @Test
         void aReenabledServerGetsACallSoonEvenOutsideTheSubset() {
-            Proxy.Setup fourReplicas = setup();
-            fourReplicas.copies = 4;
-            Proxy proxy = new Proxy(fourReplicas).with("a", "b", "c", "d", "e", "f", "g");
+            FakeProxy.Setup fourReplicas = setup();
+            fourReplicas.replicas = 4;
+            FakeProxy proxy = new FakeProxy(fourReplicas).withServers("a", "b", "c", "d", "e", "f", "g");
             Set<String> subset = new HashSet<>();
             for (int i = 0; i < 40; i++) {
                 subset.add(proxy.serve());
             }
             assertEquals(5, subset.size());
             for (String server : List.of("a", "b", "c", "d", "e", "f", "g")) {
-                proxy.logic.disable(proxy.now, server);
-                proxy.pass(100);
-                proxy.logic.enable(proxy.now, server);
-                int requestsBefore = proxy.sentTo.size();
+                proxy.logic.disable(proxy.nowUs, server);
+                proxy.advanceTime(100);
+                proxy.logic.enable(proxy.nowUs, server);
+                int requestsBefore = proxy.serversByRequest.size();
                 Set<String> used = new HashSet<>();
                 for (int i = 0; i < 60 && !used.contains(server); i++) {
                     used.add(proxy.serve());
                 }
                 assertTrue(used.contains(server),
-                        server + " got no call; requests sent: " + (proxy.sentTo.size() - requestsBefore));
+                        server + " got no call; requests sent: "
+                        + (proxy.serversByRequest.size() - requestsBefore));
             }
             Set<String> usedLater = new HashSet<>();
-            proxy.pass(8_000);
+            proxy.advanceTime(8_000);
             for (int i = 0; i < 40; i++) {
                 usedLater.add(proxy.serve());
             }
@@ -1777,32 +1798,32 @@
         @Test
         void aReenabledServerGetsACallSoonThoughItsRestartIsListedLater() {
             for (boolean listedAsGone : List.of(false, true)) {
-                Proxy.Setup fourReplicas = setup();
-                fourReplicas.copies = 4;
-                Proxy proxy = new Proxy(fourReplicas).with("a", "b", "c", "d", "e", "f", "g");
+                FakeProxy.Setup fourReplicas = setup();
+                fourReplicas.replicas = 4;
+                FakeProxy proxy = new FakeProxy(fourReplicas).withServers("a", "b", "c", "d", "e", "f", "g");
                 Set<String> subset = new HashSet<>();
                 for (int i = 0; i < 40; i++) {
                     subset.add(proxy.serve());
                 }
                 for (String server : List.of("a", "b", "c", "d", "e", "f", "g")) {
-                    proxy.logic.disable(proxy.now, server);
+                    proxy.logic.disable(proxy.nowUs, server);
                     if (listedAsGone) {
-                        proxy.change(server, 0, ServerStatus.GONE);
+                        proxy.changeServer(server, 0, ServerStatus.GONE);
                     }
-                    proxy.logic.enable(proxy.now, server);
-                    proxy.pass(50);
-                    proxy.change(server, proxy.now, ServerStatus.UP);
+                    proxy.logic.enable(proxy.nowUs, server);
+                    proxy.advanceTime(50);
+                    proxy.changeServer(server, proxy.nowUs, ServerStatus.UP);
                     boolean used = false;
                     for (int i = 0; i < 100 && !used; i++) {
-                        String call = proxy.request(Proxy.SAFE);
-                        if (proxy.at(call) != null) {
-                            used = proxy.at(call).equals(server);
-                            proxy.end(call, Outcome.OK);
+                        String call = proxy.request(FakeProxy.SAFE);
+                        if (proxy.latestServer(call) != null) {
+                            used = proxy.latestServer(call).equals(server);
+                            proxy.endAttempt(call, Outcome.OK);
                         }
-                        proxy.pass(40);
+                        proxy.advanceTime(40);
                     }
                     assertTrue(used, server + " got no call; was listed as gone: " + listedAsGone);
-                    proxy.pass(20_000);
+                    proxy.advanceTime(20_000);
                 }
             }
         }
@@ -1810,19 +1831,19 @@
         /** Failures of the process that was disabled say nothing about the one that runs after the enable. */
         @Test
         void aReenabledServerIsNotKeptEjected() {
-            Proxy proxy = new Proxy(setup()).with("a", "b");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
             for (int i = 0; i < 4; i++) {
-                String call = proxy.request(Proxy.SAFE);
-                if (proxy.at(call).equals("a")) {
-                    proxy.end(call, Outcome.CONNECT_FAILED);
+                String call = proxy.request(FakeProxy.SAFE);
+                if (proxy.latestServer(call).equals("a")) {
+                    proxy.endAttempt(call, Outcome.CONNECT_FAILED);
                 }
-                if (proxy.at(call).equals("b")) {
-                    proxy.end(call, Outcome.OK);
+                if (proxy.latestServer(call).equals("b")) {
+                    proxy.endAttempt(call, Outcome.OK);
                 }
-                proxy.pass(10);
+                proxy.advanceTime(10);
             }
-            proxy.logic.disable(proxy.now, "a");
-            proxy.logic.enable(proxy.now, "a");
+            proxy.logic.disable(proxy.nowUs, "a");
+            proxy.logic.enable(proxy.nowUs, "a");
             Set<String> used = new HashSet<>();
             for (int i = 0; i < 10; i++) {
                 used.add(proxy.serve());
@@ -1832,37 +1853,37 @@
 
         @Test
         void idleConnectionsAreClosedAtOnceAndAfterTheLastCall() {
-            Proxy proxy = new Proxy(setup()).with("a");
-            String call = proxy.request(Proxy.SAFE);
-            proxy.logic.disable(proxy.now, "a");
-            assertEquals(1, proxy.count("close a"));
-            proxy.end(call, Outcome.OK);
-            assertEquals(2, proxy.count("close a"));
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
+            String call = proxy.request(FakeProxy.SAFE);
+            proxy.logic.disable(proxy.nowUs, "a");
+            assertEquals(1, proxy.countActions("close a"));
+            proxy.endAttempt(call, Outcome.OK);
+            assertEquals(2, proxy.countActions("close a"));
         }
 
         @Test
         void serversAreKnownOnceListedAndAreCounted() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c");
             assertFalse(proxy.logic.knows("z"));
-            proxy.change("d", 0, ServerStatus.DRAINING);
-            proxy.change("c", 0, ServerStatus.GONE);
+            proxy.changeServer("d", 0, ServerStatus.DRAINING);
+            proxy.changeServer("c", 0, ServerStatus.GONE);
             assertTrue(proxy.logic.knows("c"), "a server that was listed once must stay known");
-            assertEquals(new Balancer.ServerCounts(3, 1), proxy.logic.serverCounts(proxy.now));
-            proxy.logic.disable(proxy.now, "a");
-            proxy.logic.disable(proxy.now, "c");
-            assertEquals(new Balancer.ServerCounts(3, 2), proxy.logic.serverCounts(proxy.now));
-            proxy.logic.enable(proxy.now, "a");
-            assertEquals(new Balancer.ServerCounts(3, 1), proxy.logic.serverCounts(proxy.now));
+            assertEquals(new Balancer.ServerCounts(3, 1), proxy.logic.serverCounts(proxy.nowUs));
+            proxy.logic.disable(proxy.nowUs, "a");
+            proxy.logic.disable(proxy.nowUs, "c");
+            assertEquals(new Balancer.ServerCounts(3, 2), proxy.logic.serverCounts(proxy.nowUs));
+            proxy.logic.enable(proxy.nowUs, "a");
+            assertEquals(new Balancer.ServerCounts(3, 1), proxy.logic.serverCounts(proxy.nowUs));
         }
 
         /** A new process of the proxy takes over disabled servers before it has received a server list. */
         @Test
         void aServerMayBeDisabledBeforeItIsListed() {
-            Proxy proxy = new Proxy(setup()).with("b");
-            proxy.logic.disable(proxy.now, "a");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("b");
+            proxy.logic.disable(proxy.nowUs, "a");
             assertTrue(proxy.logic.knows("a"));
-            proxy.change("a", 0, ServerStatus.UP);
-            proxy.pass(20_000);
+            proxy.changeServer("a", 0, ServerStatus.UP);
+            proxy.advanceTime(20_000);
             assertEquals("b", proxy.serve());
             assertEquals("b", proxy.serve());
         }
@@ -1870,10 +1891,10 @@
         /** New server names keep coming, so names must not be remembered without limit. */
         @Test
         void namesOfServersLongGoneAreForgotten() {
-            Proxy proxy = new Proxy(setup()).with("a");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a");
             for (int i = 0; i < 5_000; i++) {
-                proxy.change("s" + i, 0, ServerStatus.UP);
-                proxy.change("s" + i, 0, ServerStatus.GONE);
+                proxy.changeServer("s" + i, 0, ServerStatus.UP);
+                proxy.changeServer("s" + i, 0, ServerStatus.GONE);
             }
             assertTrue(proxy.logic.knows("a"));
             assertTrue(proxy.logic.knows("s4999"));
@@ -1886,76 +1907,79 @@
     class StreamedBodies {
 
         /** Starts a request whose body is still arriving and returns its id. */
-        private String startIncompleteRequest(Proxy proxy, int requestClass) {
-            String id = "long" + proxy.done.size();
-            proxy.logic.request(proxy.now, new Request(id, requestClass, 0, 1_000 * MS, 0, false, true));
+        private String startIncompleteRequest(FakeProxy proxy, int requestClass) {
+            String id = "long" + proxy.actions.size();
+            proxy.logic.request(proxy.nowUs, new Request(id, requestClass, 0, 1_000 * MS, 0, false, true));
             return id;
         }
 
         /** However long a request takes to arrive, none of its attempts is overdue before its last byte. */
         @Test
         void attemptsBecomeOverdueOnlyAfterTheLastByte() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c");
             for (int i = 0; i < 10; i++) {
                 proxy.serve();
             }
-            String call = startIncompleteRequest(proxy, Proxy.SAFE);
-            proxy.pass(900);
-            assertEquals(1, proxy.attempts.get(call), "hedged although the request is still arriving");
-            proxy.logic.requestComplete(proxy.now, call, 1_000 * MS);
-            proxy.pass(900);
-            assertEquals(2, proxy.attempts.get(call),
+            String call = startIncompleteRequest(proxy, FakeProxy.SAFE);
+            proxy.advanceTime(900);
+            assertEquals(1, proxy.attemptCounts.get(call), "hedged although the request is still arriving");
+            proxy.logic.requestComplete(proxy.nowUs, call, 1_000 * MS);
+            proxy.advanceTime(900);
+            assertEquals(2, proxy.attemptCounts.get(call),
                     "an overdue call was not hedged after its request was complete");
-            assertFalse(proxy.did("fail " + call) || proxy.did("refuse " + call));
+            assertFalse(proxy.hasAction("fail " + call) || proxy.hasAction("refuse " + call));
         }
 
         @Test
         void aBufferedBodyIsRetriedAndADiscardedOneIsNot() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c");
-            String buffered = startIncompleteRequest(proxy, Proxy.UNSAFE);
-            proxy.end(buffered, Outcome.CONNECT_FAILED);
-            assertEquals(2, proxy.attempts.get(buffered));
-            String discarded = startIncompleteRequest(proxy, Proxy.UNSAFE);
-            proxy.logic.bodyDiscarded(proxy.now, discarded);
-            proxy.end(discarded, Outcome.CONNECT_FAILED);
-            assertEquals(1, proxy.attempts.get(discarded));
-            assertTrue(proxy.did("refuse " + discarded),
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c");
+            String buffered = startIncompleteRequest(proxy, FakeProxy.UNSAFE);
+            proxy.endAttempt(buffered, Outcome.CONNECT_FAILED);
+            assertEquals(2, proxy.attemptCounts.get(buffered));
+            String discarded = startIncompleteRequest(proxy, FakeProxy.UNSAFE);
+            proxy.logic.bodyDiscarded(proxy.nowUs, discarded);
+            proxy.endAttempt(discarded, Outcome.CONNECT_FAILED);
+            assertEquals(1, proxy.attemptCounts.get(discarded));
+            assertTrue(proxy.hasAction("refuse " + discarded),
                     "the call cannot have run, so its client must be told that it may retry");
         }
 
         @Test
         void aDiscardedBodyIsNotHedged() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c");
             for (int i = 0; i < 10; i++) {
                 proxy.serve();
             }
-            String call = startIncompleteRequest(proxy, Proxy.SAFE);
-            proxy.logic.bodyDiscarded(proxy.now, call);
-            proxy.logic.requestComplete(proxy.now, call, 1_000 * MS);
-            proxy.pass(900);
-            assertEquals(1, proxy.attempts.get(call));
+            String call = startIncompleteRequest(proxy, FakeProxy.SAFE);
+            proxy.logic.bodyDiscarded(proxy.nowUs, call);
+            proxy.logic.requestComplete(proxy.nowUs, call, 1_000 * MS);
+            proxy.advanceTime(900);
+            assertEquals(1, proxy.attemptCounts.get(call));
         }
 
         @Test
         void aStartedResponseIsCommittedAndOtherAttemptsAreCancelled() {
-            Proxy proxy = new Proxy(setup()).with("a", "b", "c");
+            FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c");
             for (int i = 0; i < 10; i++) {
                 proxy.serve();
             }
-            String call = proxy.request(Proxy.SAFE);
-            proxy.pass(500);
-            assertEquals(2, proxy.attempts.get(call));
-            proxy.logic.streamStarted(proxy.now, call, 0, proxy.sentTo.get(call).get(0), 500 * MS);
-            assertFalse(proxy.did("cancel " + call + " 0"));
-            assertTrue(proxy.did("cancel " + call + " 1"));
-            proxy.logic.outcome(proxy.now, call, 1, proxy.sentTo.get(call).get(1), Outcome.CANCELLED, 1, true,
+            String call = proxy.request(FakeProxy.SAFE);
+            proxy.advanceTime(500);
+            assertEquals(2, proxy.attemptCounts.get(call));
+            proxy.logic.streamStarted(proxy.nowUs, call, 0, proxy.serversByRequest.get(call).get(0),
+                    500 * MS);
+            assertFalse(proxy.hasAction("cancel " + call + " 0"));
+            assertTrue(proxy.hasAction("cancel " + call + " 1"));
+            proxy.logic.outcome(proxy.nowUs, call, 1, proxy.serversByRequest.get(call).get(1),
+                    Outcome.CANCELLED, 1, true,
                     null);
-            proxy.pass(5_000);
-            proxy.logic.outcome(proxy.now, call, 0, proxy.sentTo.get(call).get(0), Outcome.RESET, 500 * MS,
+            proxy.advanceTime(5_000);
+            proxy.logic.outcome(proxy.nowUs, call, 0, proxy.serversByRequest.get(call).get(0), Outcome.RESET,
+                    500 * MS,
                     true, null);
-            assertEquals(2, proxy.attempts.get(call));
-            assertEquals(0, proxy.count("fail") + proxy.count("refuse")
-                    + proxy.count("cancel " + call + " 0"));
+            assertEquals(2, proxy.attemptCounts.get(call));
+            assertEquals(0, proxy.countActions("fail") + proxy.countActions("refuse")
+                    + proxy.countActions("cancel " + call + " 0"));
         }
     }
 }
--- a/src/test/java/passhatch/PolicyFilesTest.java
+++ b/src/test/java/passhatch/PolicyFilesTest.java
@@ -17,14 +17,14 @@
 /** The deploy file names every file that decides, and each of them can be read in a sitting. */
 class PolicyFilesTest {
 
-    private static final Path MODULE = Path.of("src/main/java/passhatch");
+    private static final Path MODULE_DIRECTORY = Path.of("src/main/java/passhatch");
     /** Types, settings, names and log lines: nothing is decided there. */
     private static final Set<String> WITHOUT_DECISIONS = Set.of("Balancer.java", "OperatorLog.java",
             "ServerNames.java", "ServerStarts.java", "SettingsBuilder.java", "SettingsCheck.java",
             "package-info.java");
-    private static final int MOST_LINES_OF_A_FILE = 1_200;
+    private static final int MAX_LINES_PER_FILE = 1_200;
 
-    private static Set<Path> policy() throws IOException {
+    private static Set<Path> policyFiles() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy")).findFirst().orElseThrow();
         return Pattern.compile("\"([^\"]+)\"").matcher(policy).results().map(MatchResult::group)
@@ -36,21 +36,21 @@
     }
 
     @Test
-    void everyFileThatDecidesIsNamed() throws IOException {
-        Set<Path> deciding;
-        try (Stream<Path> files = Files.list(MODULE)) {
-            deciding = files.filter(file -> file.toString().endsWith(".java"))
+    void everyFileWithDecisionsIsAPolicyFile() throws IOException {
+        Set<Path> decisionFiles;
+        try (Stream<Path> files = Files.list(MODULE_DIRECTORY)) {
+            decisionFiles = files.filter(file -> file.toString().endsWith(".java"))
                     .filter(file -> !WITHOUT_DECISIONS.contains(file.getFileName().toString()))
                     .collect(Collectors.toCollection(TreeSet::new));
         }
-        assertEquals(deciding, policy());
+        assertEquals(decisionFiles, policyFiles());
     }
 
     @Test
-    void noFileThatDecidesHasMoreThan1200Lines() throws IOException {
-        for (Path file : policy()) {
+    void noPolicyFileHasMoreThan1200Lines() throws IOException {
+        for (Path file : policyFiles()) {
             long lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
-            assertTrue(lines > 0 && lines <= MOST_LINES_OF_A_FILE, file + ": " + lines);
+            assertTrue(lines > 0 && lines <= MAX_LINES_PER_FILE, file + ": " + lines);
         }
     }
 }
--- a/src/test/java/passhatch/ServerStartsTest.java
+++ b/src/test/java/passhatch/ServerStartsTest.java
@@ -9,42 +9,43 @@
 /** Starts told as wall time, where the wall clock of one machine is off. */
 final class ServerStartsTest {
 
-    private static final long SECOND = 1_000_000;
-    private static final long HOUR = 3_600 * SECOND;
-    private static final long NOW = 100_000 * SECOND;
+    private static final long SECOND_US = 1_000_000;
+    private static final long HOUR_US = 3_600 * SECOND_US;
+    private static final long NOW_US = 100_000 * SECOND_US;
 
     private final ServerStarts starts = new ServerStarts();
 
-    private long startOf(String id, long nowUs, long toldUs) {
-        return starts.startOf(nowUs, new Server(id, toldUs, 0, 0, ServerStatus.UP));
+    private long startTimeUs(String id, long nowUs, long reportedUs) {
+        return starts.startTimeUs(nowUs, new Server(id, reportedUs, 0, 0, ServerStatus.UP));
     }
 
     @Test
-    void aStartThatMayBeTrueIsTaken() {
-        assertEquals(0, startOf("old", NOW, 0));
-        assertEquals(NOW - HOUR, startOf("first list", NOW, NOW - HOUR));
-        starts.heard(NOW);
-        assertEquals(NOW - SECOND, startOf("new", NOW + SECOND, NOW - SECOND));
+    void aPlausibleStartIsAccepted() {
+        assertEquals(0, startTimeUs("old", NOW_US, 0));
+        assertEquals(NOW_US - HOUR_US, startTimeUs("first list", NOW_US, NOW_US - HOUR_US));
+        starts.listReceived(NOW_US);
+        assertEquals(NOW_US - SECOND_US, startTimeUs("new", NOW_US + SECOND_US, NOW_US - SECOND_US));
     }
 
     @Test
-    void aStartInTheFutureIsNowAndStays() {
-        assertEquals(NOW, startOf("s", NOW, NOW + HOUR));
-        assertEquals(NOW, startOf("s", NOW + 9 * SECOND, NOW + HOUR));
+    void aStartInTheFutureIsReplacedByNowForGood() {
+        assertEquals(NOW_US, startTimeUs("s", NOW_US, NOW_US + HOUR_US));
+        assertEquals(NOW_US, startTimeUs("s", NOW_US + 9 * SECOND_US, NOW_US + HOUR_US));
     }
 
     @Test
-    void aStartLongBeforeTheListThatLackedItIsNow() {
-        starts.heard(NOW);
-        assertEquals(NOW + SECOND, startOf("s", NOW + SECOND, NOW - HOUR));
-        assertEquals(NOW + SECOND, startOf("s", NOW + 8 * SECOND, NOW - HOUR));
-        assertEquals(NOW + 9 * SECOND, startOf("s", NOW + 9 * SECOND, NOW + SECOND - HOUR));
+    void aNewStartLongBeforeTheLastListIsReplacedByNow() {
+        starts.listReceived(NOW_US);
+        assertEquals(NOW_US + SECOND_US, startTimeUs("s", NOW_US + SECOND_US, NOW_US - HOUR_US));
+        assertEquals(NOW_US + SECOND_US, startTimeUs("s", NOW_US + 8 * SECOND_US, NOW_US - HOUR_US));
+        assertEquals(NOW_US + 9 * SECOND_US,
+                startTimeUs("s", NOW_US + 9 * SECOND_US, NOW_US + SECOND_US - HOUR_US));
     }
 
     @Test
     void aServerThatReturnsWithTheSameStartKeepsIt() {
-        assertEquals(NOW - HOUR, startOf("s", NOW, NOW - HOUR));
-        starts.heard(NOW);
-        assertEquals(NOW - HOUR, startOf("s", NOW + 30 * SECOND, NOW - HOUR));
+        assertEquals(NOW_US - HOUR_US, startTimeUs("s", NOW_US, NOW_US - HOUR_US));
+        starts.listReceived(NOW_US);
+        assertEquals(NOW_US - HOUR_US, startTimeUs("s", NOW_US + 30 * SECOND_US, NOW_US - HOUR_US));
     }
 }
--- a/src/test/java/passhatch/SubsettingTest.java
+++ b/src/test/java/passhatch/SubsettingTest.java
@@ -23,83 +23,87 @@
         return IntStream.range(0, servers).mapToObj(i -> "10.0." + i / 250 + "." + i % 250 + ":80").toList();
     }
 
-    private static List<ServerState> backends(List<String> ids) {
+    private static List<ServerState> serverStates(List<String> ids) {
         return ids.stream().map(ServerState::new).toList();
     }
 
-    private static Set<String> subset(int replica, int replicas, List<String> ids, int wanted) {
-        Subsetting s = new Subsetting(replica, replicas);
-        s.change(List.of(), backends(ids), wanted);
-        return Set.copyOf(s.members().stream().map(b -> b.id).toList());
+    private static Set<String> subset(int replica, int replicas, List<String> ids, int subsetSize) {
+        Subsetting subsetting = new Subsetting(replica, replicas);
+        subsetting.update(List.of(), serverStates(ids), subsetSize);
+        return Set.copyOf(subsetting.members().stream().map(server -> server.id).toList());
     }
 
     /** The replicas of each server. */
-    private static Map<String, Set<Integer>> users(int replicas, List<String> ids, int wanted) {
-        Map<String, Set<Integer>> users = new HashMap<>();
-        ids.forEach(id -> users.put(id, new HashSet<>()));
-        for (int r = 0; r < replicas; r++) {
-            for (String id : subset(r, replicas, ids, wanted)) {
-                users.get(id).add(r);
+    private static Map<String, Set<Integer>> replicasByServer(int replicas, List<String> ids,
+            int subsetSize) {
+        Map<String, Set<Integer>> replicasByServer = new HashMap<>();
+        ids.forEach(id -> replicasByServer.put(id, new HashSet<>()));
+        for (int replica = 0; replica < replicas; replica++) {
+            for (String id : subset(replica, replicas, ids, subsetSize)) {
+                replicasByServer.get(id).add(replica);
             }
         }
-        return users;
+        return replicasByServer;
     }
 
     @ParameterizedTest
     @CsvSource({"30, 100, 4", "300, 100, 7", "100, 300, 4", "400, 40, 24"})
-    void oneServerThatGoesMovesLittleMoreThanItsOwnReplicas(int servers, int replicas, int wanted) {
+    void removingAServerReassignsFewOtherReplicas(int servers, int replicas, int subsetSize) {
         List<String> ids = ids(servers);
-        Map<String, Set<Integer>> before = users(replicas, ids, wanted);
-        List<Integer> many = before.values().stream().map(Set::size).toList();
-        double mean = many.stream().mapToInt(n -> n).average().orElseThrow();
-        assertTrue(Collections.max(many) <= 1.3 * mean, "busiest " + Collections.max(many) + " of " + mean);
-        assertTrue(Collections.min(many) >= Math.floor(0.7 * mean), "fewest " + Collections.min(many));
-        int used = 0;
-        int opened = 0;
+        Map<String, Set<Integer>> before = replicasByServer(replicas, ids, subsetSize);
+        List<Integer> replicaCounts = before.values().stream().map(Set::size).toList();
+        double mean = replicaCounts.stream().mapToInt(n -> n).average().orElseThrow();
+        assertTrue(Collections.max(replicaCounts) <= 1.3 * mean,
+                "busiest " + Collections.max(replicaCounts) + " of " + mean);
+        assertTrue(Collections.min(replicaCounts) >= Math.floor(0.7 * mean),
+                "fewest " + Collections.min(replicaCounts));
+        int endedAssignments = 0;
+        int newAssignments = 0;
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 60; i++) {
-            List<String> left = new ArrayList<>(ids);
-            String gone = left.remove(random.nextInt(servers));
-            used += before.get(gone).size();
-            Map<String, Set<Integer>> after = users(replicas, left, wanted);
-            for (String id : left) {
+            List<String> remaining = new ArrayList<>(ids);
+            String removed = remaining.remove(random.nextInt(servers));
+            endedAssignments += before.get(removed).size();
+            Map<String, Set<Integer>> after = replicasByServer(replicas, remaining, subsetSize);
+            for (String id : remaining) {
                 after.get(id).removeAll(before.get(id));
-                opened += after.get(id).size();
+                newAssignments += after.get(id).size();
             }
         }
-        assertTrue(opened <= 2 * used, opened + " pairings opened where " + used + " had ended");
+        assertTrue(newAssignments <= 2 * endedAssignments,
+                newAssignments + " pairings opened where " + endedAssignments + " had ended");
     }
 
     @Test
     void theSubsetDependsOnTheListAloneNotOnItsOrderOrHistory() {
         List<String> ids = ids(80);
-        List<String> turned = new ArrayList<>(ids);
-        Collections.reverse(turned);
+        List<String> reversed = new ArrayList<>(ids);
+        Collections.reverse(reversed);
         Set<String> expected = subset(3, 50, ids, 5);
-        assertEquals(expected, subset(3, 50, turned, 5));
-        Subsetting grown = new Subsetting(3, 50);
-        List<ServerState> all = backends(ids);
-        List<ServerState> passing = backends(List.of("10.1.0.1:80", "10.1.0.2:80"));
-        grown.change(List.of(), passing, 5);
-        grown.change(List.of(), all.subList(40, 80), 5);
-        grown.change(passing.subList(0, 1), all.subList(0, 40), 5);
-        grown.change(passing.subList(1, 2), List.of(), 5);
-        assertEquals(expected, Set.copyOf(grown.members().stream().map(b -> b.id).toList()));
+        assertEquals(expected, subset(3, 50, reversed, 5));
+        Subsetting updated = new Subsetting(3, 50);
+        List<ServerState> servers = serverStates(ids);
+        List<ServerState> temporary = serverStates(List.of("10.1.0.1:80", "10.1.0.2:80"));
+        updated.update(List.of(), temporary, 5);
+        updated.update(List.of(), servers.subList(40, 80), 5);
+        updated.update(temporary.subList(0, 1), servers.subList(0, 40), 5);
+        updated.update(temporary.subList(1, 2), List.of(), 5);
+        assertEquals(expected, Set.copyOf(updated.members().stream().map(server -> server.id).toList()));
     }
 
     @Test
-    void othersStandInOnceEachAfterTheMembers() {
-        Subsetting s = new Subsetting(0, 50);
-        s.change(List.of(), backends(ids(80)), 5);
-        List<ServerState> all = s.all();
-        assertEquals(s.members(), all.subList(0, s.members().size()));
-        assertEquals(80, new HashSet<>(all).size());
-        assertEquals(80, all.size());
+    void allServersAreMembersFirstThenEachOtherServerOnce() {
+        Subsetting subsetting = new Subsetting(0, 50);
+        subsetting.update(List.of(), serverStates(ids(80)), 5);
+        List<ServerState> allServers = subsetting.allServers();
+        assertEquals(subsetting.members(), allServers.subList(0, subsetting.members().size()));
+        assertEquals(80, new HashSet<>(allServers).size());
+        assertEquals(80, allServers.size());
     }
 
     @ParameterizedTest
     @CsvSource({"0, 4, 0", "1, 4, 1", "3, 4, 3", "5, 9, 5"})
-    void fewServersAreAllUsed(int servers, int wanted, int expected) {
-        assertEquals(expected, subset(1, 3, ids(servers), wanted).size());
+    void fewServersAreAllUsed(int servers, int subsetSize, int expected) {
+        assertEquals(expected, subset(1, 3, ids(servers), subsetSize).size());
     }
 }
--- a/src/test/java/passhatch/example/EmbeddingExample.java
+++ b/src/test/java/passhatch/example/EmbeddingExample.java
@@ -55,12 +55,12 @@
             @Override public void log(String text) { }
         };
         Balancer balancer = new LeastLoadedBalancer(settings, 42, actions);
-        long now = 0;
-        balancer.serversChanged(now, ListKind.CACHED, List.of(
+        long nowUs = 0;
+        balancer.serversChanged(nowUs, ListKind.CACHED, List.of(
                 new Server("10.0.0.1:80", 0, 0, 0, ServerStatus.UP),
                 new Server("10.0.0.2:80", 0, 0, 0, ServerStatus.UP)));
-        balancer.request(now, new Request("r1", 0, 0, 1_000_000, 0, false));
-        balancer.outcome(now + 20_000, "r1", 0, "10.0.0.1:80", Outcome.OK, 20_000, true, null);
+        balancer.request(nowUs, new Request("r1", 0, 0, 1_000_000, 0, false));
+        balancer.outcome(nowUs + 20_000, "r1", 0, "10.0.0.1:80", Outcome.OK, 20_000, true, null);
         // README: end
         return asked;
     }
--- a/src/test/java/passhatch/proxy/SendGuardTest.java
+++ b/src/test/java/passhatch/proxy/SendGuardTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import passhatch.Balancer.Effect;
 import passhatch.proxy.SendGuard.Attempt;
-import passhatch.proxy.SendGuard.Moment;
+import passhatch.proxy.SendGuard.WriteConditions;
 import passhatch.proxy.SendGuard.Violation;
 
 /** What holds an attempt back, and what counts as a broken rule. */
@@ -31,31 +31,31 @@
     }
 
     @Test
-    void anAttemptIsHeldBackForOneReasonThatIsCounted() {
-        assertTrue(guard.mayWrite(new Moment(false, true, true, true, true)));
-        assertFalse(guard.mayWrite(new Moment(true, true, true, true, true)));
-        assertFalse(guard.mayWrite(new Moment(false, false, true, true, true)));
-        assertFalse(guard.mayWrite(new Moment(false, true, false, true, true)));
-        assertFalse(guard.mayWrite(new Moment(false, true, true, false, true)));
-        assertFalse(guard.mayWrite(new Moment(false, true, true, true, false)));
-        for (SendGuard.HeldBack why : SendGuard.HeldBack.values()) {
-            assertEquals(1, metrics().get("held_back." + Figures.lowerCase(why)));
+    void eachReasonToHoldAnAttemptBackIsCounted() {
+        assertTrue(guard.mayWrite(new WriteConditions(false, true, true, true, true)));
+        assertFalse(guard.mayWrite(new WriteConditions(true, true, true, true, true)));
+        assertFalse(guard.mayWrite(new WriteConditions(false, false, true, true, true)));
+        assertFalse(guard.mayWrite(new WriteConditions(false, true, false, true, true)));
+        assertFalse(guard.mayWrite(new WriteConditions(false, true, true, false, true)));
+        assertFalse(guard.mayWrite(new WriteConditions(false, true, true, true, false)));
+        for (SendGuard.HeldBack reason : SendGuard.HeldBack.values()) {
+            assertEquals(1, metrics().get("held_back." + Figures.lowerCase(reason)));
         }
     }
 
     @Test
     void anAttemptWithinTheRulesIsNoViolation() {
-        guard.written(new Attempt("r", "s", GRACE_US, Effect.SAFE, true, 3, 1_150_000, 1_000_000));
-        guard.written(new Attempt("r", "s", -1, Effect.UNSAFE, false, 1, 1, 1));
+        guard.checkWritten(new Attempt("r", "s", GRACE_US, Effect.SAFE, true, 3, 1_150_000, 1_000_000));
+        guard.checkWritten(new Attempt("r", "s", -1, Effect.UNSAFE, false, 1, 1, 1));
         assertEquals("", out.toString(StandardCharsets.UTF_8));
     }
 
     @Test
     void eachBrokenRuleIsCountedAndLogged() {
-        guard.written(new Attempt("r", "s", GRACE_US + 1, Effect.UNSAFE, true, 4, 1_150_001, 1_000_000));
-        guard.closedUnanswered("q");
+        guard.checkWritten(new Attempt("r", "s", GRACE_US + 1, Effect.UNSAFE, true, 4, 1_150_001, 1_000_000));
+        guard.recordClosedUnanswered("q");
         for (Violation rule : Violation.values()) {
-            assertEquals(1, guard.violations(rule), rule.name());
+            assertEquals(1, guard.violationCount(rule), rule.name());
             assertTrue(out.toString(StandardCharsets.UTF_8).contains("VIOLATION " + rule));
         }
     }
