--- a/src/main/java/passhatch/proxy/AnswerReader.java
+++ b/src/main/java/passhatch/proxy/AnswerReader.java
@@ -23,7 +23,7 @@
     /** A longer answer is passed on as it comes. */
     static final int HELD = 1 << 16;
     /** None is longer: what tells of more is spoilt. */
-    static final long MOST_BODY = RequestReader.MOST_BODY;
+    static final long MOST_BODY = RequestReader.MAX_BODY_BYTES;
     /** Interim answers before the final one; a backend that sends more will not come to an end. */
     private static final int MOST_INTERIM = 16;
 
--- a/src/main/java/passhatch/proxy/BodyBudget.java
+++ b/src/main/java/passhatch/proxy/BodyBudget.java
@@ -6,23 +6,23 @@
  */
 final class BodyBudget {
 
-    private final int most;
-    private int held;
+    private final int maxBytes;
+    private int reservedBytes;
 
-    BodyBudget(int most) {
-        this.most = most;
+    BodyBudget(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     /** Takes so many bytes; false, with nothing taken, where there are not so many left. */
     boolean reserve(int bytes) {
-        if (held + bytes > most) {
+        if (reservedBytes + bytes > maxBytes) {
             return false;
         }
-        held += bytes;
+        reservedBytes += bytes;
         return true;
     }
 
     void release(int bytes) {
-        held -= bytes;
+        reservedBytes -= bytes;
     }
 }
--- a/src/main/java/passhatch/proxy/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/ClientConnection.java
@@ -33,31 +33,32 @@
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
     /** Requests of one connection that may be unanswered before no more are read from it. */
-    private static final int MOST_PIPELINED = 4;
+    private static final int MAX_PIPELINED_REQUESTS = 4;
     /** How long a connection that is ended is still read, so that no reset overtakes its last answer. */
-    private static final long LINGER_MS = 200;
+    private static final long LINGER_TIMEOUT_MS = 200;
     /** And how much. */
-    private static final int MOST_LINGER_BYTES = 1 << 18;
+    private static final int MAX_LINGER_BYTES = 1 << 18;
     /** A request that is answered before all of it is in may go on for so long. */
-    private static final long MOST_REST_MS = 2_000;
+    private static final long REQUEST_REMAINDER_TIMEOUT_MS = 2_000;
     /** A client that takes nothing of an answer for so long is gone. */
     private static final int WRITE_TIMEOUT_S = 10;
     /** A connection of which not all is read may have ended; after so long its requests are not sent on. */
-    private static final long MOST_BLIND_US = 200_000;
+    private static final long MAX_UNREAD_US = 200_000;
 
     /** A request on a connection, until its answer is written. */
-    private static final class Turn implements ProxyLoop.Responder, RequestBody.Source, AnswerStream.Owner {
+    private static final class PipelinedRequest implements ProxyLoop.Responder, RequestBody.Source,
+            AnswerStream.Owner {
         private final ClientConnection connection;
         private final HttpRequest head;
         private final RequestBody body;
         private final boolean keepAlive;
         /** Its id while the proxy holds it. */
-        private String id;
-        private Answer answer;
+        private String activeId;
+        private Answer response;
         /** Its answer, where that is passed on as it comes. */
-        private AnswerStream stream;
+        private AnswerStream responseStream;
 
-        Turn(ClientConnection connection, HttpRequest head, RequestBody body, boolean keepAlive) {
+        PipelinedRequest(ClientConnection connection, HttpRequest head, RequestBody body, boolean keepAlive) {
             this.connection = connection;
             this.head = head;
             this.body = body;
@@ -65,64 +66,66 @@
         }
 
         @Override
-        public void answer(Answer given) {
-            answer = given;
-            connection.writeAnswers();
+        public void answer(Answer finalResponse) {
+            response = finalResponse;
+            connection.writeResponses();
         }
 
         @Override
         public BackendPool.AnswerSink stream(long length, Runnable readOn) {
-            stream = new AnswerStream(connection.channel, head.protocolVersion(), length, readOn, this);
-            connection.writeAnswers();
-            return stream;
+            responseStream = new AnswerStream(connection.channel, head.protocolVersion(), length, readOn,
+                    this);
+            connection.writeResponses();
+            return responseStream;
         }
 
         @Override
         public void ended() {
-            connection.writeAnswers();
+            connection.writeResponses();
         }
 
         @Override
         public void brokenBeforeItsTurn() {
-            stream = null;
+            responseStream = null;
             answer(Answer.failed());
         }
 
         @Override
         public void broken() {
-            connection.noMore = true;
+            connection.inputDiscarded = true;
             connection.channel.close();
         }
 
         /** A body that is on its way must not wait until its client has sent all of it. */
         @Override
         public boolean isPresent() {
-            return this == connection.arriving || !connection.isBlind();
+            return this == connection.incompleteRequest || !connection.mayHaveMissedClose();
         }
 
         @Override
         public void readOn() {
-            connection.handleOn();
+            connection.scheduleHandling();
         }
 
         @Override
         public void spent() {
-            if (id != null) {
-                connection.server.proxy().spent(id);
+            if (activeId != null) {
+                connection.server.proxy().spent(activeId);
             }
         }
 
         /** The id by which the proxy holds it while it owes an answer, or null. */
-        private String owed() {
-            return answer == null && (stream == null || !stream.isEnded()) ? id : null;
+        private String unansweredId() {
+            return response == null && (responseStream == null || !responseStream.isEnded())
+                    ? activeId : null;
         }
 
-        private void drop() {
+        private void releaseBuffers() {
             if (body != null) {
                 body.drop();
             }
-            if (stream != null) {
-                stream.release();
+            if (responseStream != null) {
+                responseStream.release();
             }
         }
     }
@@ -131,38 +134,38 @@
     private final Channel channel;
     private final RequestDecoder decoder = new RequestDecoder();
     private final RequestReader reader;
-    private final ReadAhead ahead;
-    private final ArrayDeque<Turn> turns = new ArrayDeque<>();
-    private final ArrivalPace pace = new ArrivalPace();
+    private final ReadAheadBuffer readAhead;
+    private final ArrayDeque<PipelinedRequest> requests = new ArrayDeque<>();
+    private final MinimumReceiveRate receiveRate = new MinimumReceiveRate();
     /** The turn of a request that was taken while it still came in; null where none is. */
-    private Turn arriving;
-    private final long connectedUs;
+    private PipelinedRequest incompleteRequest;
+    private final long connectedAtUs;
     /** When the request that is coming in began to; 0 where none is. */
-    private long partSinceUs;
+    private long incompleteSinceUs;
     /** When the last answer was written. */
-    private long answeredUs;
+    private long lastResponseAtUs;
     /** What has come in is handled in a later step of the loop. */
-    private boolean handlesOn;
+    private boolean handlingScheduled;
     /** Since when not all is read that the client may have sent; 0 where all is. */
-    private long blindSinceUs;
+    private long unreadSinceUs;
     /** Nothing more is taken: the connection ends with the answers to what is open. */
-    private boolean noMore;
+    private boolean inputDiscarded;
     /** The connection ends with the request that is coming in, of which nothing is wanted any more. */
-    private boolean endsWithRequest;
-    private boolean writing;
+    private boolean closesAfterIncompleteRequest;
+    private boolean writingResponses;
     /** What came last could not be taken; there may be more of it, unread. */
-    private boolean turnedDown;
+    private boolean requestRejected;
     /** Its last answer is written. */
-    private boolean ended;
+    private boolean lastResponseWritten;
     /** Its client has been told of its end and has not closed it yet. */
-    private boolean lingers;
+    private boolean lingering;
 
     ClientConnection(ClientServer server, Channel channel, long nowUs) {
         this.server = server;
         this.channel = channel;
         this.reader = new RequestReader(server.budget());
-        this.ahead = new ReadAhead(server.budget());
-        this.connectedUs = nowUs;
+        this.readAhead = new ReadAheadBuffer(server.budget());
+        this.connectedAtUs = nowUs;
     }
 
     /** What stands between the socket and this. */
@@ -173,44 +176,47 @@
 
     /** Whether it may be closed for another: no request is open and none has begun to come in. */
     boolean isIdle() {
-        return turns.isEmpty() && ahead.isEmpty() && partSinceUs == 0 && !noMore && !hasUnsent();
+        return requests.isEmpty() && readAhead.isEmpty() && incompleteSinceUs == 0 && !inputDiscarded
+                && !hasUnsentResponse();
     }
 
     /** Whether some of an answer may not have arrived yet: closed now, it could be cut off. */
-    boolean hasUnsent() {
-        return channel.isActive() && (lingers || holdsUnsent());
+    boolean hasUnsentResponse() {
+        return channel.isActive() && (lingering || hasUnflushedBytes());
     }
 
     /** Whether some of an answer has not been handed to the network yet. */
-    private boolean holdsUnsent() {
+    private boolean hasUnflushedBytes() {
         return channel.isActive()
                 && channel.bytesBeforeUnwritable() < channel.config().getWriteBufferHighWaterMark();
     }
 
-    boolean hasAsked() {
-        return answeredUs > 0;
+    boolean hasSentResponse() {
+        return lastResponseAtUs > 0;
     }
 
     /** Since when it is idle. */
     long idleSinceUs() {
-        return hasAsked() ? answeredUs : connectedUs;
+        return hasSentResponse() ? lastResponseAtUs : connectedAtUs;
     }
 
     /**
      * Ends a connection whose first request does not come, or on which one does not come to an end. Its time
      * runs from the start, however often a few bytes come.
      */
-    void endIfStalled(long nowUs, long mostUnaskedUs, long mostIdleUs) {
-        if (partSinceUs > 0) {
-            long sinceUs = hasAsked() || !turns.isEmpty() && arriving == null ? partSinceUs : connectedUs;
-            if (reader.isFull() || !ahead.isEmpty()) {
-                pace.hold(nowUs);
+    void closeIfStalled(long nowUs, long firstRequestTimeoutUs, long idleTimeoutUs) {
+        if (incompleteSinceUs > 0) {
+            long startedAtUs = hasSentResponse() || !requests.isEmpty() && incompleteRequest == null
+                    ? incompleteSinceUs : connectedAtUs;
+            if (reader.isBodyFull() || !readAhead.isEmpty()) {
+                receiveRate.readingPaused(nowUs);
             }
-            if (pace.isOver(nowUs, sinceUs)) {
-                server.say("a request did not come to an end");
-                turnDown(HttpResponseStatus.REQUEST_TIMEOUT);
+            if (receiveRate.isTooSlow(nowUs, startedAtUs)) {
+                server.logClientEvent("a request did not come to an end");
+                rejectRequest(HttpResponseStatus.REQUEST_TIMEOUT);
             }
-        } else if (isIdle() && nowUs - idleSinceUs() > (hasAsked() ? mostIdleUs : mostUnaskedUs)) {
+        } else if (isIdle()
+                && nowUs - idleSinceUs() > (hasSentResponse() ? idleTimeoutUs : firstRequestTimeoutUs)) {
             closeIfIdle();
         }
     }
@@ -218,33 +224,34 @@
     /** Closes it; it is a fault of this program where a request on it is owed its answer. */
     void close() {
         if (channel.isActive()) {
-            turns.stream().filter(turn -> turn.stream == null && turn.owed() != null)
-                    .forEach(turn -> server.proxy().guard().recordClosedUnanswered(turn.id));
+            requests.stream()
+                    .filter(request -> request.responseStream == null && request.unansweredId() != null)
+                    .forEach(request -> server.proxy().guard().recordClosedUnanswered(request.activeId));
         }
         channel.close();
     }
 
     /** Whether nothing is owed any more and only its client's end is waited for. */
-    boolean lingers() {
-        return lingers;
+    boolean isLingering() {
+        return lingering;
     }
 
     /** Whether it is idle still once all is read that has come in by now. */
-    boolean isStillIdle() {
-        if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
-            socket.read();
+    boolean isIdleAfterRead() {
+        if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafeChannel) {
+            unsafeChannel.read();
         }
         return isIdle();
     }
 
     /** Closes it unless a request has come that is not read yet: its client would have to send it again. */
     void closeIfIdle() {
-        if (!isStillIdle()) {
+        if (!isIdleAfterRead()) {
             return;
         }
-        if (hasAsked()) {
-            noMore = true;
-            linger();
+        if (hasSentResponse()) {
+            inputDiscarded = true;
+            startLingering();
         } else {
             close();
         }
@@ -254,28 +261,28 @@
      * Ends its sending, and passes over what still comes until its client closes it too. Closed at once, a
      * reset would answer what comes, and take with it what has not arrived of the last answer.
      */
-    private void linger() {
+    private void startLingering() {
         if (!channel.isActive() || ((SocketChannel) channel).isInputShutdown()) {
             close();
             return;
         }
-        ended = true;
-        lingers = true;
-        channel.pipeline().addFirst(new Drain());
+        lastResponseWritten = true;
+        lingering = true;
+        channel.pipeline().addFirst(new DiscardingHandler());
         ((SocketChannel) channel).shutdownOutput();
         channel.config().setAutoRead(true);
-        channel.eventLoop().schedule(this::close, LINGER_MS, TimeUnit.MILLISECONDS);
+        channel.eventLoop().schedule(this::close, LINGER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Lets go of all that comes, up to its limit. */
-    private final class Drain extends ChannelInboundHandlerAdapter {
-        private int drained;
+    private final class DiscardingHandler extends ChannelInboundHandlerAdapter {
+        private int discardedBytes;
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            drained += ((ByteBuf) bytes).readableBytes();
-            ReferenceCountUtil.release(bytes);
-            if (drained > MOST_LINGER_BYTES) {
+        public void channelRead(ChannelHandlerContext ctx, Object message) {
+            discardedBytes += ((ByteBuf) message).readableBytes();
+            ReferenceCountUtil.release(message);
+            if (discardedBytes > MAX_LINGER_BYTES) {
                 close();
             }
         }
@@ -283,7 +290,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        server.opened(this);
+        server.connectionOpened(this);
         ctx.fireChannelActive();
     }
 
@@ -294,45 +301,45 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
         if (part instanceof HttpRequest) {
-            decoder.arrived();
+            decoder.headDelivered();
         }
-        if (noMore) {
-            passOver(part);
+        if (inputDiscarded) {
+            discardPart(part);
             return;
         }
-        ahead.add(part, server.nowUs());
-        if (ahead.isFull()) {
+        readAhead.add(part, server.nowUs());
+        if (readAhead.isFull()) {
             channel.config().setAutoRead(false);
-            blindSinceUs = blindSinceUs == 0 ? server.nowUs() : blindSinceUs;
+            unreadSinceUs = unreadSinceUs == 0 ? server.nowUs() : unreadSinceUs;
         }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        seeIfAllIsRead();
-        noteArrival();
-        handleOn();
+        clearUnreadUnlessFull();
+        updateIncompleteSince();
+        scheduleHandling();
         ctx.fireChannelReadComplete();
     }
 
-    private boolean isBlind() {
-        return blindSinceUs > 0 && server.nowUs() - blindSinceUs > MOST_BLIND_US;
+    private boolean mayHaveMissedClose() {
+        return unreadSinceUs > 0 && server.nowUs() - unreadSinceUs > MAX_UNREAD_US;
     }
 
     /** The rest of what came behind the last request is read, so that the client's end is seen. */
-    private void passOver(HttpObject part) {
-        if (endsWithRequest && part instanceof LastHttpContent) {
+    private void discardPart(HttpObject part) {
+        if (closesAfterIncompleteRequest && part instanceof LastHttpContent) {
             close();
         }
     }
 
     /** Handles what has come in, in a later step: within this one it would go ever deeper. */
-    private void handleOn() {
-        if (!handlesOn) {
-            handlesOn = true;
+    private void scheduleHandling() {
+        if (!handlingScheduled) {
+            handlingScheduled = true;
             channel.eventLoop().execute(() -> {
-                handlesOn = false;
-                handleSome();
+                handlingScheduled = false;
+                handleBufferedParts();
             });
         }
     }
@@ -341,249 +348,253 @@
      * Guards the loop and the memory against a connection that sends on and on: no more than a few requests
      * are open or are handled in one step of the loop, and none is taken while answers are not.
      */
-    private void handleSome() {
-        int whole = 0;
-        while (whole < MOST_PIPELINED && mayHandle() && !ahead.isEmpty()) {
-            ReadAhead.Part next = ahead.poll();
+    private void handleBufferedParts() {
+        int completedRequests = 0;
+        while (completedRequests < MAX_PIPELINED_REQUESTS && canHandleMore() && !readAhead.isEmpty()) {
+            ReadAheadBuffer.ReceivedPart received = readAhead.poll();
             try {
-                whole += next.part() instanceof LastHttpContent ? 1 : 0;
-                handle(next.part(), next.atUs());
+                completedRequests += received.part() instanceof LastHttpContent ? 1 : 0;
+                handlePart(received.part(), received.receivedAtUs());
             } finally {
-                ReferenceCountUtil.release(next.part());
+                ReferenceCountUtil.release(received.part());
             }
         }
-        if (mayHandle() && !ahead.isEmpty()) {
-            handleOn();
+        if (canHandleMore() && !readAhead.isEmpty()) {
+            scheduleHandling();
         }
-        noteArrival();
-        if (!ahead.isFull() && !noMore && !channel.config().isAutoRead()) {
+        updateIncompleteSince();
+        if (!readAhead.isFull() && !inputDiscarded && !channel.config().isAutoRead()) {
             channel.config().setAutoRead(true);
             // A timer runs once the loop has read what there is; where nothing is, no read tells of it.
-            channel.eventLoop().schedule(this::seeIfAllIsRead, 1, TimeUnit.MILLISECONDS);
+            channel.eventLoop().schedule(this::clearUnreadUnlessFull, 1, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void seeIfAllIsRead() {
-        if (!ahead.isFull()) {
-            blindSinceUs = 0;
+    private void clearUnreadUnlessFull() {
+        if (!readAhead.isFull()) {
+            unreadSinceUs = 0;
         }
     }
 
-    private boolean mayHandle() {
-        return !noMore && turns.size() < MOST_PIPELINED + (arriving == null ? 0 : 1)
-                && channel.isWritable() && !reader.isFull();
+    private boolean canHandleMore() {
+        return !inputDiscarded
+                && requests.size() < MAX_PIPELINED_REQUESTS + (incompleteRequest == null ? 0 : 1)
+                && channel.isWritable() && !reader.isBodyFull();
     }
 
     /** Takes no more: what is held, and all that still comes, is passed over. */
-    private void takeNoMore() {
-        noMore = true;
-        while (!ahead.isEmpty()) {
-            HttpObject part = ahead.poll().part();
-            passOver(part);
+    private void discardFurtherInput() {
+        inputDiscarded = true;
+        while (!readAhead.isEmpty()) {
+            HttpObject part = readAhead.poll().part();
+            discardPart(part);
             ReferenceCountUtil.release(part);
         }
-        if (channel.isOpen() && !ended) {
+        if (channel.isOpen() && !lastResponseWritten) {
             channel.config().setAutoRead(true);
         }
     }
 
-    private void handle(HttpObject part, long atUs) {
-        if (part instanceof HttpRequest && isBlind()) {
-            server.say("more requests came at once than are read; their client may have left");
-            turnDown(HttpResponseStatus.SERVICE_UNAVAILABLE);
+    private void handlePart(HttpObject part, long receivedAtUs) {
+        if (part instanceof HttpRequest && mayHaveMissedClose()) {
+            server.logClientEvent("more requests came at once than are read; their client may have left");
+            rejectRequest(HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
-        RequestReader.Incoming incoming;
+        RequestReader.IncomingRequest incoming;
         try {
             incoming = reader.read(part);
-        } catch (RequestReader.Unreadable bad) {
-            server.say("request refused with " + bad.status() + ": " + bad.getMessage());
-            turnDown(bad.status());
+        } catch (RequestReader.UnreadableRequestException unreadable) {
+            server.logClientEvent("request refused with " + unreadable.status() + ": "
+                    + unreadable.getMessage());
+            rejectRequest(unreadable.status());
             return;
         }
         if (part instanceof HttpRequest) {
-            pace.begin();
-            if (turns.isEmpty() && reader.isWaitedFor(part)) {
+            receiveRate.requestStarted();
+            if (requests.isEmpty() && reader.isAwaitingContinue(part)) {
                 channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                         HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
         }
         if (part instanceof HttpContent content) {
-            pace.got(server.nowUs(), content.content().readableBytes());
+            receiveRate.bytesReceived(server.nowUs(), content.content().readableBytes());
         }
         if (incoming.body().isWhole()) {
-            partSinceUs = 0;
-            if (arriving == null) {
-                begin(incoming, server.nowUs() - atUs);
+            incompleteSinceUs = 0;
+            if (incompleteRequest == null) {
+                acceptRequest(incoming, server.nowUs() - receivedAtUs);
             } else {
-                Turn whole = arriving;
-                arriving = null;
-                if (!whole.keepAlive) {
-                    takeNoMore();
+                PipelinedRequest completed = incompleteRequest;
+                incompleteRequest = null;
+                if (!completed.keepAlive) {
+                    discardFurtherInput();
                 }
-                server.proxy().whole(whole.id);
+                server.proxy().whole(completed.activeId);
             }
-        } else if (arriving == null && incoming.body().isLong()) {
-            begin(incoming, 0);
+        } else if (incompleteRequest == null && incoming.body().isLong()) {
+            acceptRequest(incoming, 0);
         }
     }
 
     /** Takes a request that is whole, or too long to wait until it is. */
-    private void begin(RequestReader.Incoming incoming, long waitedUs) {
-        boolean whole = incoming.body().isWhole();
-        Turn turn = new Turn(this, incoming.head(), incoming.body(), HttpUtil.isKeepAlive(incoming.head()));
-        turns.add(turn);
-        incoming.body().source(turn);
-        arriving = whole ? null : turn;
-        if (whole && !turn.keepAlive) {
-            takeNoMore();
+    private void acceptRequest(RequestReader.IncomingRequest incoming, long waitedUs) {
+        boolean complete = incoming.body().isWhole();
+        PipelinedRequest request = new PipelinedRequest(this, incoming.head(), incoming.body(),
+                HttpUtil.isKeepAlive(incoming.head()));
+        requests.add(request);
+        incoming.body().source(request);
+        incompleteRequest = complete ? null : request;
+        if (complete && !request.keepAlive) {
+            discardFurtherInput();
         }
         try {
-            take(turn, incoming, waitedUs);
-        } catch (RequestParser.BadRequest bad) {
-            server.say("request refused with " + bad.status() + ": " + bad.getMessage());
-            if (whole) {
-                turn.answer(Answer.of(bad.status()));
+            dispatchRequest(request, incoming, waitedUs);
+        } catch (RequestParser.InvalidRequestException invalid) {
+            server.logClientEvent("request refused with " + invalid.status() + ": " + invalid.getMessage());
+            if (complete) {
+                request.answer(Answer.of(invalid.status()));
             } else {
-                turnDown(bad.status());
+                rejectRequest(invalid.status());
             }
         }
     }
 
-    private void take(Turn turn, RequestReader.Incoming incoming, long waitedUs)
-            throws RequestParser.BadRequest {
+    private void dispatchRequest(PipelinedRequest request, RequestReader.IncomingRequest incoming,
+            long waitedUs) throws RequestParser.InvalidRequestException {
         if (incoming.head().method().equals(HttpMethod.GET) && incoming.head().uri().equals("/ready")) {
-            turn.answer(Answer.of(server.isReady() ? HttpResponseStatus.OK
+            request.answer(Answer.of(server.isReady() ? HttpResponseStatus.OK
                     : HttpResponseStatus.SERVICE_UNAVAILABLE));
             return;
         }
-        ProxyRequest request = server.parse(incoming, waitedUs);
-        turn.id = request.id();
-        if (!server.proxy().take(request, turn)) {
+        ProxyRequest proxyRequest = server.parse(incoming, waitedUs);
+        request.activeId = proxyRequest.id();
+        if (!server.proxy().take(proxyRequest, request)) {
             // It is another's: nothing that becomes of this connection may touch it.
-            turn.id = null;
-            throw new RequestParser.BadRequest(HttpResponseStatus.BAD_REQUEST,
+            request.activeId = null;
+            throw new RequestParser.InvalidRequestException(HttpResponseStatus.BAD_REQUEST,
                     "X-Request-Id is already in use");
         }
     }
 
     /** Notes when a request began to come in that is not whole yet. */
-    private void noteArrival() {
-        if (noMore || !reader.holdsPart() && !decoder.holdsMore()) {
-            partSinceUs = 0;
-        } else if (partSinceUs == 0) {
-            partSinceUs = server.nowUs();
+    private void updateIncompleteSince() {
+        if (inputDiscarded || !reader.hasIncompleteRequest() && !decoder.hasUndeliveredBytes()) {
+            incompleteSinceUs = 0;
+        } else if (incompleteSinceUs == 0) {
+            incompleteSinceUs = server.nowUs();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        handleOn();
-        Turn first = turns.peek();
-        if (first != null && first.stream != null) {
-            first.stream.writable();
+        scheduleHandling();
+        PipelinedRequest first = requests.peek();
+        if (first != null && first.responseStream != null) {
+            first.responseStream.writable();
         }
     }
 
     /** Answers what cannot be taken, after what came before it, and takes nothing behind it. */
-    private void turnDown(HttpResponseStatus status) {
-        turnedDown = true;
-        takeNoMore();
-        partSinceUs = 0;
-        Turn turn = arriving;
-        arriving = null;
-        if (turn == null) {
-            reader.drop();
-            turn = new Turn(this, null, null, false);
-            turns.add(turn);
-        } else if (turn.owed() != null) {
+    private void rejectRequest(HttpResponseStatus status) {
+        requestRejected = true;
+        discardFurtherInput();
+        incompleteSinceUs = 0;
+        PipelinedRequest request = incompleteRequest;
+        incompleteRequest = null;
+        if (request == null) {
+            reader.discardIncomplete();
+            request = new PipelinedRequest(this, null, null, false);
+            requests.add(request);
+        } else if (request.unansweredId() != null) {
             // It is not the request that its client meant, and must not run.
-            server.proxy().clientGone(turn.id);
+            server.proxy().clientGone(request.activeId);
         }
-        if (turn.stream != null) {
-            turn.stream.broken();
-        } else if (turn.answer == null) {
-            turn.answer(Answer.of(status));
+        if (request.responseStream != null) {
+            request.responseStream.broken();
+        } else if (request.response == null) {
+            request.answer(Answer.of(status));
         }
     }
 
     /** Writes what is answered, up to the first request that is not. */
-    private void writeAnswers() {
-        if (writing) {
+    private void writeResponses() {
+        if (writingResponses) {
             return;
         }
-        writing = true;
-        boolean goesOn = true;
-        while (goesOn && !turns.isEmpty()) {
-            Turn turn = turns.peek();
-            if (turn.answer != null) {
-                turns.poll();
-                write(turn.answer, keepsAlive(turn));
-                turn.drop();
-            } else if (turn.stream != null) {
-                turn.stream.begin(keepsAlive(turn));
-                goesOn = turn.stream.isWhole();
-                if (goesOn) {
-                    turns.poll();
-                    answeredUs = server.nowUs();
-                    ChannelFuture written = turn.stream.finish();
-                    if (!turn.stream.keepsAlive()) {
-                        end(written);
+        writingResponses = true;
+        boolean nextMayBeWritten = true;
+        while (nextMayBeWritten && !requests.isEmpty()) {
+            PipelinedRequest request = requests.peek();
+            if (request.response != null) {
+                requests.poll();
+                writeResponse(request.response, keepsAlive(request));
+                request.releaseBuffers();
+            } else if (request.responseStream != null) {
+                request.responseStream.begin(keepsAlive(request));
+                nextMayBeWritten = request.responseStream.isWhole();
+                if (nextMayBeWritten) {
+                    requests.poll();
+                    lastResponseAtUs = server.nowUs();
+                    ChannelFuture written = request.responseStream.finish();
+                    if (!request.responseStream.keepsAlive()) {
+                        closeAfter(written);
                     }
-                    turn.drop();
+                    request.releaseBuffers();
                 }
             } else {
-                goesOn = false;
+                nextMayBeWritten = false;
             }
         }
-        writing = false;
-        handleOn();
+        writingResponses = false;
+        scheduleHandling();
     }
 
     /**
      * Only the last of the requests that have been read may end the connection: its client would take those
      * behind it for taken, and they would be lost. One that is not all in must.
      */
-    private boolean keepsAlive(Turn turn) {
-        boolean last = ahead.isEmpty() && (turns.isEmpty() || turns.size() == 1 && turns.peek() == turn);
-        return turn.keepAlive && turn != arriving
-                && !(last && (turnedDown || server.answersEndConnections()));
+    private boolean keepsAlive(PipelinedRequest request) {
+        boolean isLast = readAhead.isEmpty()
+                && (requests.isEmpty() || requests.size() == 1 && requests.peek() == request);
+        return request.keepAlive && request != incompleteRequest
+                && !(isLast && (requestRejected || server.closesAfterLastResponse()));
     }
 
-    private void write(Answer answer, boolean keepAlive) {
-        DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                answer.status(), Unpooled.wrappedBuffer(answer.body()));
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
-        if (answer.retryAfter() != null) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, answer.retryAfter());
+    private void writeResponse(Answer response, boolean keepAlive) {
+        DefaultFullHttpResponse httpResponse = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+                response.status(), Unpooled.wrappedBuffer(response.body()));
+        httpResponse.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+        if (response.retryAfter() != null) {
+            httpResponse.headers().set(HttpHeaderNames.RETRY_AFTER, response.retryAfter());
         }
         if (!keepAlive) {
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            httpResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        answeredUs = server.nowUs();
-        ChannelFuture written = channel.writeAndFlush(response);
+        lastResponseAtUs = server.nowUs();
+        ChannelFuture written = channel.writeAndFlush(httpResponse);
         if (!keepAlive) {
-            end(written);
+            closeAfter(written);
         }
     }
 
     /** Lets the answer arrive and then closes the connection, on which nothing more is read. */
-    private void end(ChannelFuture written) {
-        if (arriving != null) {
+    private void closeAfter(ChannelFuture written) {
+        if (incompleteRequest != null) {
             // The rest of its request is read and let go: a reset could overtake the answer.
-            arriving = null;
-            endsWithRequest = true;
-            partSinceUs = 0;
-            channel.eventLoop().schedule(this::close, MOST_REST_MS, TimeUnit.MILLISECONDS);
-            takeNoMore();
+            incompleteRequest = null;
+            closesAfterIncompleteRequest = true;
+            incompleteSinceUs = 0;
+            channel.eventLoop().schedule(this::close, REQUEST_REMAINDER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            discardFurtherInput();
             return;
         }
-        takeNoMore();
-        ended = true;
+        discardFurtherInput();
+        lastResponseWritten = true;
         channel.config().setAutoRead(false);
-        written.addListener(done -> {
-            if (done.isSuccess()) {
-                linger();
+        written.addListener(completedWrite -> {
+            if (completedWrite.isSuccess()) {
+                startLingering();
             } else {
                 close();
             }
@@ -591,41 +602,41 @@
     }
 
     /** No answer is owed any more for what is open here. */
-    private void abandon() {
-        List<Turn> left = List.copyOf(turns);
-        turns.clear();
-        arriving = null;
-        for (Turn turn : left) {
-            String owed = turn.owed();
-            turn.drop();
-            if (owed != null) {
-                server.proxy().clientGone(owed);
+    private void abandonRequests() {
+        List<PipelinedRequest> abandoned = List.copyOf(requests);
+        requests.clear();
+        incompleteRequest = null;
+        for (PipelinedRequest request : abandoned) {
+            String unansweredId = request.unansweredId();
+            request.releaseBuffers();
+            if (unansweredId != null) {
+                server.proxy().clientGone(unansweredId);
             }
         }
-        reader.drop();
-        ahead.drop();
-        partSinceUs = 0;
+        reader.discardIncomplete();
+        readAhead.releaseAll();
+        incompleteSinceUs = 0;
     }
 
     /** A client that ends its sending has gone; one that reads on is told that it gets nothing. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
-            if (lingers) {
+            if (lingering) {
                 close();
-            } else if (!(turnedDown && turns.isEmpty())) {
-                fail();
+            } else if (!(requestRejected && requests.isEmpty())) {
+                failConnection();
             }
         }
     }
 
-    private void fail() {
-        boolean owed = turns.isEmpty() ? !ahead.isEmpty()
-                : turns.peek().stream == null || !turns.peek().stream.isBegun();
-        noMore = true;
-        abandon();
-        if (owed) {
-            write(Answer.failed(), false);
+    private void failConnection() {
+        boolean canSendResponse = requests.isEmpty() ? !readAhead.isEmpty()
+                : requests.peek().responseStream == null || !requests.peek().responseStream.isBegun();
+        inputDiscarded = true;
+        abandonRequests();
+        if (canSendResponse) {
+            writeResponse(Answer.failed(), false);
         } else {
             close();
         }
@@ -633,19 +644,19 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        noMore = true;
-        abandon();
-        server.closed(this);
+        inputDiscarded = true;
+        abandonRequests();
+        server.connectionClosed(this);
     }
 
     /** An error in here ends what this connection has out, and nothing else. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        server.say("client connection: " + cause);
-        if (turnedDown || lingers) {
+        server.logClientEvent("client connection: " + cause);
+        if (requestRejected || lingering) {
             channel.close();
         } else {
-            fail();
+            failConnection();
         }
     }
 }
--- a/src/main/java/passhatch/proxy/ClientServer.java
+++ b/src/main/java/passhatch/proxy/ClientServer.java
@@ -20,61 +20,61 @@
 /** The callers' side: takes requests over HTTP and gives each its one answer. */
 final class ClientServer {
 
-    private static final int BACKLOG = 1024;
-    private static final int READS_IN_A_ROW = 16;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int MAX_READS_PER_LOOP = 16;
     /** How often connections are looked through for those that stall. */
-    private static final long SWEEP_US = 100_000;
+    private static final long STALLED_CHECK_INTERVAL_US = 100_000;
     /** A connection on which nothing is asked at all is closed after this long. */
-    private static final long MOST_STALL_US = 2_600_000;
+    private static final long FIRST_REQUEST_TIMEOUT_US = 2_600_000;
     /** A connection that is kept but not used is closed after this long. */
-    private static final long MOST_IDLE_US = 15_000_000;
+    private static final long IDLE_TIMEOUT_US = 15_000_000;
     /** Part of the connections that may be open from which on no more of them are kept after an answer. */
-    private static final double CROWDED = 0.6;
+    private static final double KEEP_ALIVE_MAX_FRACTION = 0.6;
     /** While this proxy is drained, a new connection is closed that asks nothing for this long. */
-    private static final long DRAINED_UNASKED_US = 500_000;
+    private static final long DRAINING_FIRST_REQUEST_TIMEOUT_US = 500_000;
     /** And sooner where others need its place, but not before this. */
-    private static final long KEEP_US = 2_000_000;
+    private static final long MIN_IDLE_BEFORE_EVICTION_US = 2_000_000;
     /** The first bytes come within this time of connecting where the client has something to ask. */
-    private static final long FIRST_BYTES_US = 100_000;
+    private static final long NEW_CONNECTION_GRACE_US = 100_000;
     /** How often the loop checks whether it was held up. */
-    private static final long BEAT_US = 10_000;
+    private static final long LOOP_CHECK_INTERVAL_US = 10_000;
     /** Lateness of a beat that says nothing: timers fire up to a millisecond or two late. */
-    private static final long BEAT_SLACK_US = 2_000;
+    private static final long TIMER_TOLERANCE_US = 2_000;
     /** Beyond what the rules allow for between reading the clock and writing. */
-    private static final long LONG_STANDSTILL_US = 150_000;
+    private static final long LOGGED_LOOP_DELAY_US = 150_000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
     private final RequestParser parser;
     private final ProxyLoop proxy;
-    private int mostOpen;
+    private int maxConnections;
     private final BodyBudget budget;
-    private final DrainState drain;
+    private final DrainState drainState;
     /** In the order of connecting. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private SharedListener listener;
-    private long nextBeatUs;
-    private long heldUpUs;
+    private long nextLoopCheckUs;
+    private long lastLoopDelayUs;
 
     /**
      * A server that does not listen yet.
      *
-     * @param mostOpen connections held at a time; an idle one is closed for one more
+     * @param maxConnections connections held at a time; an idle one is closed for one more
      */
     ClientServer(EventLoop loop, Clock clock, EventLog log, RequestParser parser, ProxyLoop proxy,
-            int mostOpen, BodyBudget budget, DrainState drain) {
+            int maxConnections, BodyBudget budget, DrainState drainState) {
         this.loop = loop;
         this.clock = clock;
         this.log = log;
         this.parser = parser;
         this.proxy = proxy;
-        this.mostOpen = mostOpen;
+        this.maxConnections = maxConnections;
         this.budget = budget;
-        this.drain = drain;
-        this.nextBeatUs = clock.nowUs();
-        beat();
-        sweep();
+        this.drainState = drainState;
+        this.nextLoopCheckUs = clock.nowUs();
+        checkLoopDelay();
+        closeStalledConnections();
     }
 
     /**
@@ -84,10 +84,10 @@
      */
     ChannelFuture listen(InetSocketAddress address, boolean shared) {
         ServerBootstrap bootstrap = new ServerBootstrap().group(loop).channelFactory(SharedListener::new)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BackendPool.WRITE_MARKS)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, readsToTheEnd())
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, readUntilEmpty())
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -107,9 +107,9 @@
     }
 
     /** Reads on until nothing is left: behind a request there may be its client's end. */
-    private static RecvByteBufAllocator readsToTheEnd() {
+    private static RecvByteBufAllocator readUntilEmpty() {
         return new AdaptiveRecvByteBufAllocator(64, 2048, BackendPool.MOST_READ)
-                .respectMaybeMoreData(false).maxMessagesPerRead(READS_IN_A_ROW);
+                .respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_LOOP);
     }
 
     /** Whether clients can connect. */
@@ -118,9 +118,9 @@
     }
 
     /** Holds to another number of connections from now on. */
-    void mostOpen(int most) {
-        mostOpen = most;
-        makeRoom();
+    void setMaxConnections(int newMaximum) {
+        maxConnections = newMaximum;
+        evictExcessConnections();
     }
 
     /** Takes no more connections; those open, and those that have connected by now, are served on. */
@@ -131,48 +131,50 @@
     }
 
     /** Whether a request is open or half in. */
-    boolean hasOpen() {
-        return connections.stream().anyMatch(c -> !c.isIdle());
+    boolean hasOpenRequests() {
+        return connections.stream().anyMatch(connection -> !connection.isIdle());
     }
 
     /** Whether some of an answer has not been handed to the network yet. */
-    boolean hasUnsent() {
-        return connections.stream().anyMatch(ClientConnection::hasUnsent);
+    boolean hasUnsentResponses() {
+        return connections.stream().anyMatch(ClientConnection::hasUnsentResponse);
     }
 
     /**
      * Whether a first request may be on its way: behind a connection that stands in the accept queue, or on
      * one that has only just come up.
      */
-    boolean hasFresh() {
-        long now = clock.nowUs();
-        return listener != null && listener.isOpen() || connections.stream().anyMatch(c -> isFresh(c, now));
+    boolean mayHaveUnreadRequests() {
+        long nowUs = clock.nowUs();
+        return listener != null && listener.isOpen()
+                || connections.stream().anyMatch(connection -> isNewlyConnected(connection, nowUs));
     }
 
-    private static boolean isFresh(ClientConnection connection, long nowUs) {
-        return connection.isIdle() && !connection.hasAsked()
-                && nowUs - connection.idleSinceUs() < FIRST_BYTES_US;
+    private static boolean isNewlyConnected(ClientConnection connection, long nowUs) {
+        return connection.isIdle() && !connection.hasSentResponse()
+                && nowUs - connection.idleSinceUs() < NEW_CONNECTION_GRACE_US;
     }
 
     /** Closes the connections on which nothing is out or about to be, as clients expect between requests. */
-    void closeIdle() {
-        long now = clock.nowUs();
-        List.copyOf(connections).stream().filter(c -> c.isIdle() && !isFresh(c, now))
+    void closeIdleConnections() {
+        long nowUs = clock.nowUs();
+        List.copyOf(connections).stream()
+                .filter(connection -> connection.isIdle() && !isNewlyConnected(connection, nowUs))
                 .forEach(ClientConnection::closeIfIdle);
     }
 
-    private void beat() {
-        heldUpUs = lateUs();
-        if (heldUpUs >= LONG_STANDSTILL_US) {
-            log.line(Kind.STANDSTILL, "the loop stood still for " + heldUpUs / 1_000 + " ms");
+    private void checkLoopDelay() {
+        lastLoopDelayUs = currentLoopDelayUs();
+        if (lastLoopDelayUs >= LOGGED_LOOP_DELAY_US) {
+            log.line(Kind.STANDSTILL, "the loop stood still for " + lastLoopDelayUs / 1_000 + " ms");
         }
-        nextBeatUs = clock.nowUs() + BEAT_US;
-        loop.schedule(this::beat, BEAT_US, TimeUnit.MICROSECONDS);
+        nextLoopCheckUs = clock.nowUs() + LOOP_CHECK_INTERVAL_US;
+        loop.schedule(this::checkLoopDelay, LOOP_CHECK_INTERVAL_US, TimeUnit.MICROSECONDS);
     }
 
     /** How late the next beat is already, where that is more than timers commonly are. */
-    private long lateUs() {
-        return Math.max(0, clock.nowUs() - nextBeatUs - BEAT_SLACK_US);
+    private long currentLoopDelayUs() {
+        return Math.max(0, clock.nowUs() - nextLoopCheckUs - TIMER_TOLERANCE_US);
     }
 
     /**
@@ -180,44 +182,44 @@
      * while this process was held up and read nothing. The loop may beat before it reads what came meanwhile,
      * so a beat's lateness counts until the next one.
      */
-    private long unreadUs() {
-        return Math.max(heldUpUs, lateUs());
+    private long maxUnreadUs() {
+        return Math.max(lastLoopDelayUs, currentLoopDelayUs());
     }
 
     // ---- connections
 
     /** Counts a new connection in; the one that can best be spared goes where there are too many. */
-    void opened(ClientConnection connection) {
+    void connectionOpened(ClientConnection connection) {
         connections.add(connection);
-        makeRoom();
+        evictExcessConnections();
     }
 
-    void closed(ClientConnection connection) {
+    void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
-        makeRoom();
+        evictExcessConnections();
     }
 
     /**
      * Guards the descriptors: one connection more than may be open closes another that has no request open.
      * If none can be spared no more are accepted until one can; those wait in the system's queue.
      */
-    private void makeRoom() {
-        long now = clock.nowUs();
-        while (connections.size() >= mostOpen) {
-            ClientConnection spared = spared(now);
-            if (spared == null) {
+    private void evictExcessConnections() {
+        long nowUs = clock.nowUs();
+        while (connections.size() >= maxConnections) {
+            ClientConnection candidate = findEvictionCandidate(nowUs);
+            if (candidate == null) {
                 break;
             }
-            if (!spared.lingers() && !spared.isStillIdle()) {
+            if (!candidate.isLingering() && !candidate.isIdleAfterRead()) {
                 continue;
             }
             log.line(Kind.EVICTION, connections.size()
                     + " clients are connected: one that is idle is let go");
-            connections.remove(spared);
-            spared.close();
+            connections.remove(candidate);
+            candidate.close();
         }
         if (listener != null && listener.isOpen()) {
-            listener.config().setAutoRead(connections.size() < mostOpen);
+            listener.config().setAutoRead(connections.size() < maxConnections);
         }
     }
 
@@ -226,36 +228,38 @@
      * as they had the time to; then those that have been idle longest, but none that may be about to send its
      * next.
      */
-    private ClientConnection spared(long nowUs) {
+    private ClientConnection findEvictionCandidate(long nowUs) {
         ClientConnection longestIdle = null;
-        for (ClientConnection c : connections) {
-            if (c.lingers()) {
-                return c;
+        for (ClientConnection connection : connections) {
+            if (connection.isLingering()) {
+                return connection;
             }
-            if (!c.isIdle()) {
+            if (!connection.isIdle()) {
                 continue;
             }
-            long idleUs = nowUs - c.idleSinceUs();
-            if (!c.hasAsked()) {
-                if (idleUs >= FIRST_BYTES_US) {
-                    return c;
+            long idleUs = nowUs - connection.idleSinceUs();
+            if (!connection.hasSentResponse()) {
+                if (idleUs >= NEW_CONNECTION_GRACE_US) {
+                    return connection;
                 }
-            } else if (idleUs >= KEEP_US
-                    && (longestIdle == null || c.idleSinceUs() < longestIdle.idleSinceUs())) {
-                longestIdle = c;
+            } else if (idleUs >= MIN_IDLE_BEFORE_EVICTION_US
+                    && (longestIdle == null || connection.idleSinceUs() < longestIdle.idleSinceUs())) {
+                longestIdle = connection;
             }
         }
         return longestIdle;
     }
 
-    private void sweep() {
-        long now = clock.nowUs();
-        boolean closing = drain.closesIdle();
-        long mostUnaskedUs = closing ? DRAINED_UNASKED_US : MOST_STALL_US;
-        long mostIdleUs = closing ? 0 : MOST_IDLE_US;
-        List.copyOf(connections).forEach(c -> c.endIfStalled(now, mostUnaskedUs, mostIdleUs));
-        makeRoom();
-        loop.schedule(this::sweep, SWEEP_US, TimeUnit.MICROSECONDS);
+    private void closeStalledConnections() {
+        long nowUs = clock.nowUs();
+        boolean closesIdle = drainState.closesIdle();
+        long firstRequestTimeoutUs = closesIdle ? DRAINING_FIRST_REQUEST_TIMEOUT_US
+                : FIRST_REQUEST_TIMEOUT_US;
+        long idleTimeoutUs = closesIdle ? 0 : IDLE_TIMEOUT_US;
+        List.copyOf(connections).forEach(connection ->
+                connection.closeIfStalled(nowUs, firstRequestTimeoutUs, idleTimeoutUs));
+        evictExcessConnections();
+        loop.schedule(this::closeStalledConnections, STALLED_CHECK_INTERVAL_US, TimeUnit.MICROSECONDS);
     }
 
     // ---- what connections ask of it
@@ -269,12 +273,13 @@
     }
 
     /** Reads a request that has waited so long behind others of its connection. */
-    ProxyRequest parse(RequestReader.Incoming incoming, long waitedUs) throws RequestParser.BadRequest {
-        return parser.parse(incoming, incoming.body().isWhole() ? Math.max(waitedUs, unreadUs()) : 0);
+    ProxyRequest parse(RequestReader.IncomingRequest incoming, long waitedUs)
+            throws RequestParser.InvalidRequestException {
+        return parser.parse(incoming, incoming.body().isWhole() ? Math.max(waitedUs, maxUnreadUs()) : 0);
     }
 
     boolean isReady() {
-        return proxy.readiness().isReady() && drain.takesClients();
+        return proxy.readiness().isReady() && drainState.takesClients();
     }
 
     /**
@@ -282,8 +287,9 @@
      * kept connections would use up the places, and while none is free, those that wait to be accepted grow
      * so old that their clients have left by the time they are served.
      */
-    boolean answersEndConnections() {
-        return drain.answersEndConnections() || connections.size() > mostOpen * CROWDED;
+    boolean closesAfterLastResponse() {
+        return drainState.answersEndConnections()
+                || connections.size() > maxConnections * KEEP_ALIVE_MAX_FRACTION;
     }
 
     long nowUs() {
@@ -291,7 +297,7 @@
     }
 
     /** Tells the operator of a fault of a client's. */
-    void say(String text) {
-        log.line(Kind.CLIENT, text);
+    void logClientEvent(String message) {
+        log.line(Kind.CLIENT, message);
     }
 }
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -293,7 +293,8 @@
         tell(e, () -> {
             long at = clock.nowUs();
             balancer.request(at, new Request(request.id(), request.requestClass(), request.tenant(),
-                    Math.max(0, e.deadlineUs - at), request.workUs(), request.retry(), e.arriving));
+                    Math.max(0, e.deadlineUs - at), request.expectedWorkUs(), request.clientRetry(),
+                    e.arriving));
         });
         return true;
     }
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -227,7 +227,7 @@
         @Override
         public void alone(boolean alone) {
             int share = alone ? descriptors : descriptors / 2;
-            clients.mostOpen(forCallers(share));
+            clients.setMaxConnections(forCallers(share));
             pool.mostOpen(forBackends(share));
         }
     }
@@ -338,8 +338,9 @@
         if (checksAgain) {
             return;
         }
-        clients.closeIdle();
-        if (clients.hasUnsent() || clients.hasFresh() || !answeredAll && clients.hasOpen()) {
+        clients.closeIdleConnections();
+        if (clients.hasUnsentResponses() || clients.mayHaveUnreadRequests() || !answeredAll
+                && clients.hasOpenRequests()) {
             if (!awaitsLast) {
                 awaitsLast = true;
                 log.line("the last connections are waited for");
@@ -380,7 +381,7 @@
         if (handover != null) {
             handover.close();
         }
-        clients.closeIdle();
+        clients.closeIdleConnections();
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).addListener(done -> ended.countDown());
     }
 }
--- a/src/main/java/passhatch/proxy/RequestParser.java
+++ b/src/main/java/passhatch/proxy/RequestParser.java
@@ -14,18 +14,18 @@
 /** Turns a caller's HTTP request into a {@link ProxyRequest}, or says why it is none. */
 final class RequestParser {
 
-    private static final Pattern DEADLINE = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([mu])");
-    private static final Pattern ID = Pattern.compile("[\\x21-\\x7e]{1,128}");
-    private static final Pattern VISIBLE = Pattern.compile("[\\x21-\\x7e]+");
-    private static final Pattern HINT = Pattern.compile("\\d{1,12}(?:\\.\\d{1,9})?");
-    private static final String BAD_DEADLINE = "X-Deadline is malformed";
+    private static final Pattern DEADLINE_PATTERN = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([mu])");
+    private static final Pattern REQUEST_ID_PATTERN = Pattern.compile("[\\x21-\\x7e]{1,128}");
+    private static final Pattern VISIBLE_ASCII_PATTERN = Pattern.compile("[\\x21-\\x7e]+");
+    private static final Pattern COST_HINT_PATTERN = Pattern.compile("\\d{1,12}(?:\\.\\d{1,9})?");
+    private static final String MALFORMED_DEADLINE = "X-Deadline is malformed";
 
     /** A request that cannot be taken, and the status that says so. */
-    static final class BadRequest extends Exception {
+    static final class InvalidRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
 
-        BadRequest(HttpResponseStatus status, String message) {
+        InvalidRequestException(HttpResponseStatus status, String message) {
             super(message, null, false, false);
             this.status = status;
         }
@@ -46,80 +46,84 @@
     }
 
     /** Reads a request that has stood unread for some time already. */
-    ProxyRequest parse(RequestReader.Incoming incoming, long unreadUs) throws BadRequest {
-        HttpRequest http = incoming.head();
-        int kind = requestClass(http);
-        HttpHeaders headers = http.headers();
+    ProxyRequest parse(RequestReader.IncomingRequest incoming, long unreadUs) throws InvalidRequestException {
+        HttpRequest head = incoming.head();
+        int classIndex = findClassIndex(head);
+        HttpHeaders headers = head.headers();
         String id = headers.get("X-Request-Id", "");
-        if (!ID.matcher(id).matches()) {
-            throw bad("X-Request-Id is missing or malformed");
+        if (!REQUEST_ID_PATTERN.matcher(id).matches()) {
+            throw invalid("X-Request-Id is missing or malformed");
         }
-        String key = headers.get("Idempotency-Key");
+        String idempotencyKey = headers.get("Idempotency-Key");
         // What goes on unchanged must be writable as it is.
-        if (!VISIBLE.matcher(http.uri()).matches() || key != null && !VISIBLE.matcher(key).matches()) {
-            throw bad("the path or Idempotency-Key is malformed");
+        if (!VISIBLE_ASCII_PATTERN.matcher(head.uri()).matches()
+                || idempotencyKey != null && !VISIBLE_ASCII_PATTERN.matcher(idempotencyKey).matches()) {
+            throw invalid("the path or Idempotency-Key is malformed");
         }
-        long mostUs = classes.get(kind).deadlineUs();
-        long budgetUs = Math.min(mostUs, deadlineUs(headers.get("X-Deadline"), mostUs));
-        return new ProxyRequest(id, kind, tenant(headers.get("X-Tenant")), budgetUs - unreadUs,
-                hintUs(headers.get("X-Cost-Hint"), mostUs), "1".equals(headers.get("X-Retry")), http.method(),
-                http.uri(), key, incoming.body());
+        long classDeadlineUs = classes.get(classIndex).deadlineUs();
+        long requestDeadlineUs =
+                Math.min(classDeadlineUs, parseDeadlineUs(headers.get("X-Deadline"), classDeadlineUs));
+        return new ProxyRequest(id, classIndex, findTenantIndex(headers.get("X-Tenant")),
+                requestDeadlineUs - unreadUs, parseCostHintUs(headers.get("X-Cost-Hint"), classDeadlineUs),
+                "1".equals(headers.get("X-Retry")), head.method(), head.uri(), idempotencyKey,
+                incoming.body());
     }
 
     /** The first part of the path; its effect must be the one that the method promises the caller. */
-    private int requestClass(HttpRequest http) throws BadRequest {
-        String path = new QueryStringDecoder(http.uri()).rawPath();
-        int end = path.indexOf('/', 1);
-        int kind = path.startsWith("/") ? classNames.indexOf(path.substring(1, end < 0 ? path.length() : end))
+    private int findClassIndex(HttpRequest head) throws InvalidRequestException {
+        String path = new QueryStringDecoder(head.uri()).rawPath();
+        int classNameEnd = path.indexOf('/', 1);
+        int classIndex = path.startsWith("/")
+                ? classNames.indexOf(path.substring(1, classNameEnd < 0 ? path.length() : classNameEnd))
                 : -1;
-        if (kind < 0) {
-            throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no such path");
+        if (classIndex < 0) {
+            throw new InvalidRequestException(HttpResponseStatus.NOT_FOUND, "no such path");
         }
-        Effect effect = http.method().equals(HttpMethod.GET) ? Effect.SAFE
-                : !http.method().equals(HttpMethod.POST) ? null
-                : http.headers().contains("Idempotency-Key") ? Effect.KEYED : Effect.UNSAFE;
-        if (effect != classes.get(kind).effect()) {
-            throw bad("the method or Idempotency-Key does not fit the class");
+        Effect effect = head.method().equals(HttpMethod.GET) ? Effect.SAFE
+                : !head.method().equals(HttpMethod.POST) ? null
+                : head.headers().contains("Idempotency-Key") ? Effect.KEYED : Effect.UNSAFE;
+        if (effect != classes.get(classIndex).effect()) {
+            throw invalid("the method or Idempotency-Key does not fit the class");
         }
-        return kind;
+        return classIndex;
     }
 
     /** A request that names no tenant is nobody's: it must not use up the share of the first. */
-    private int tenant(String name) throws BadRequest {
+    private int findTenantIndex(String name) throws InvalidRequestException {
         if (name == null || tenants.isEmpty()) {
             return tenants.size();
         }
-        int tenant = tenants.indexOf(name);
-        if (tenant < 0) {
-            throw bad("X-Tenant is not known");
+        int tenantIndex = tenants.indexOf(name);
+        if (tenantIndex < 0) {
+            throw invalid("X-Tenant is not known");
         }
-        return tenant;
+        return tenantIndex;
     }
 
-    private static long deadlineUs(String text, long absentUs) throws BadRequest {
+    private static long parseDeadlineUs(String text, long defaultUs) throws InvalidRequestException {
         if (text == null) {
-            return absentUs;
+            return defaultUs;
         }
-        Matcher parts = DEADLINE.matcher(text.strip());
-        if (!parts.matches()) {
-            throw bad(BAD_DEADLINE);
+        Matcher matcher = DEADLINE_PATTERN.matcher(text.strip());
+        if (!matcher.matches()) {
+            throw invalid(MALFORMED_DEADLINE);
         }
-        return (long) (Double.parseDouble(parts.group(1)) * (parts.group(2).equals("m") ? 1000 : 1));
+        return (long) (Double.parseDouble(matcher.group(1)) * (matcher.group(2).equals("m") ? 1000 : 1));
     }
 
     /**
      * A guess that cannot be read is no guess. Nor is one at more work than there is time: taken into the
      * module's means it would make all later requests look small.
      */
-    private static long hintUs(String text, long mostUs) {
-        if (text == null || !HINT.matcher(text.strip()).matches()) {
+    private static long parseCostHintUs(String text, long classDeadlineUs) {
+        if (text == null || !COST_HINT_PATTERN.matcher(text.strip()).matches()) {
             return 0;
         }
-        double us = Double.parseDouble(text.strip());
-        return us <= mostUs ? (long) us : 0;
+        double hintUs = Double.parseDouble(text.strip());
+        return hintUs <= classDeadlineUs ? (long) hintUs : 0;
     }
 
-    private static BadRequest bad(String message) {
-        return new BadRequest(HttpResponseStatus.BAD_REQUEST, message);
+    private static InvalidRequestException invalid(String message) {
+        return new InvalidRequestException(HttpResponseStatus.BAD_REQUEST, message);
     }
 }
--- a/src/main/java/passhatch/proxy/RequestReader.java
+++ b/src/main/java/passhatch/proxy/RequestReader.java
@@ -17,25 +17,25 @@
 final class RequestReader {
 
     /** Larger bodies are turned down. */
-    static final long MOST_BODY = 32L << 20;
+    static final long MAX_BODY_BYTES = 32L << 20;
 
     private final BodyBudget budget;
-    private Incoming current;
-    private long received;
+    private IncomingRequest current;
+    private long receivedBodyBytes;
 
     RequestReader(BodyBudget budget) {
         this.budget = budget;
     }
 
     /** A request of which the head is in. */
-    record Incoming(HttpRequest head, RequestBody body) { }
+    record IncomingRequest(HttpRequest head, RequestBody body) { }
 
     /** A request that cannot be taken, and the status that says so. */
-    static final class Unreadable extends Exception {
+    static final class UnreadableRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
 
-        private Unreadable(HttpResponseStatus status, String message) {
+        private UnreadableRequestException(HttpResponseStatus status, String message) {
             super(message, null, false, false);
             this.status = status;
         }
@@ -46,49 +46,51 @@
     }
 
     /** Takes the next part and gives the request that it belongs to. */
-    Incoming read(HttpObject part) throws Unreadable {
+    IncomingRequest read(HttpObject part) throws UnreadableRequestException {
         if (part.decoderResult().isFailure()) {
-            throw new Unreadable(HttpResponseStatus.BAD_REQUEST, "the request is not HTTP");
+            throw new UnreadableRequestException(HttpResponseStatus.BAD_REQUEST, "the request is not HTTP");
         }
         if (part instanceof HttpRequest request) {
-            check(request);
-            current = new Incoming(request, new RequestBody(budget, HttpUtil.getContentLength(request, -1L)));
-            received = 0;
+            checkHead(request);
+            current = new IncomingRequest(request,
+                    new RequestBody(budget, HttpUtil.getContentLength(request, -1L)));
+            receivedBodyBytes = 0;
         }
-        Incoming to = current;
+        IncomingRequest incoming = current;
         if (part instanceof HttpContent content) {
-            received += content.content().readableBytes();
-            if (received > MOST_BODY) {
-                throw tooLarge();
+            receivedBodyBytes += content.content().readableBytes();
+            if (receivedBodyBytes > MAX_BODY_BYTES) {
+                throw bodyTooLarge();
             }
-            if (!to.body().add(content.content())) {
-                throw new Unreadable(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many bytes are held");
+            if (!incoming.body().add(content.content())) {
+                throw new UnreadableRequestException(HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        "too many bytes are held");
             }
         }
         if (part instanceof LastHttpContent) {
             current = null;
-            to.body().end();
+            incoming.body().end();
         }
-        return to;
+        return incoming;
     }
 
     /** The head of a request has come whose body waits for leave to be sent. */
-    boolean isWaitedFor(HttpObject part) {
+    boolean isAwaitingContinue(HttpObject part) {
         return current != null && part == current.head() && HttpUtil.is100ContinueExpected(current.head());
     }
 
     /** Whether part of a request is in. */
-    boolean holdsPart() {
+    boolean hasIncompleteRequest() {
         return current != null;
     }
 
     /** Whether what is in must go on before more may be read. */
-    boolean isFull() {
+    boolean isBodyFull() {
         return current != null && current.body().isFull();
     }
 
     /** Gives back what an unfinished request holds. */
-    void drop() {
+    void discardIncomplete() {
         if (current != null) {
             current.body().drop();
         }
@@ -98,22 +100,25 @@
      * Guards against a request that hides another. The decoder turns down a length beside a transfer coding,
      * lengths that differ and a coding that does not end in chunks; others may be undone by no one behind.
      */
-    private static void check(HttpRequest request) throws Unreadable {
-        List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        if (request.protocolVersion().majorVersion() != 1 || codings.size() > 1
-                || codings.size() == 1 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
-            throw new Unreadable(HttpResponseStatus.BAD_REQUEST,
+    private static void checkHead(HttpRequest request) throws UnreadableRequestException {
+        List<String> transferCodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        if (request.protocolVersion().majorVersion() != 1 || transferCodings.size() > 1
+                || transferCodings.size() == 1
+                && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(transferCodings.get(0))) {
+            throw new UnreadableRequestException(HttpResponseStatus.BAD_REQUEST,
                     "the version or transfer coding is not known");
         }
-        if (HttpUtil.getContentLength(request, 0L) > MOST_BODY) {
-            throw tooLarge();
+        if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
+            throw bodyTooLarge();
         }
         if (request.headers().contains(HttpHeaderNames.EXPECT) && !HttpUtil.is100ContinueExpected(request)) {
-            throw new Unreadable(HttpResponseStatus.EXPECTATION_FAILED, "the expectation is not known");
+            throw new UnreadableRequestException(HttpResponseStatus.EXPECTATION_FAILED,
+                    "the expectation is not known");
         }
     }
 
-    private static Unreadable tooLarge() {
-        return new Unreadable(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+    private static UnreadableRequestException bodyTooLarge() {
+        return new UnreadableRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
+                "the body is too large");
     }
 }
--- a/src/test/java/passhatch/proxy/BackendPoolTest.java
+++ b/src/test/java/passhatch/proxy/BackendPoolTest.java
@@ -76,7 +76,7 @@
     }
 
     private Result next() throws InterruptedException {
-        Result result = results.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        Result result = results.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertNotNull(result, "no result came");
         return result;
     }
@@ -165,7 +165,7 @@
             if (count.getAndIncrement() == 0) {
                 connection.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst" + surplus);
             } else {
-                connection.answer("200 OK", "own");
+                connection.respond("200 OK", "own");
             }
         })) {
             Target target = new Target("s", backend.address());
@@ -182,9 +182,9 @@
     /** Bytes that come while nothing is asked end the connection. */
     @Test
     void aConnectionThatSpeaksWhileIdleIsClosed() throws Exception {
-        BlockingQueue<Http> answered = new LinkedBlockingQueue<>();
+        BlockingQueue<HttpTestConnection> answered = new LinkedBlockingQueue<>();
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
-            connection.answer("200 OK", "x");
+            connection.respond("200 OK", "x");
             answered.add(connection);
         })) {
             assertEquals(Outcome.OK, call(backend.address()));
@@ -202,7 +202,7 @@
         CountDownLatch happened = new CountDownLatch(1);
         // By the thread that reads there: closed by another while it reads, a socket is let go of only later.
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
-            connection.answer("200 OK", "own");
+            connection.respond("200 OK", "own");
             taken.await();
             switch (event) {
                 case "close" -> connection.close();
@@ -214,7 +214,7 @@
             assertEquals("own", body(backend.address()));
             loop.submit(() -> {
                 taken.countDown();
-                assertTrue(happened.await(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertTrue(happened.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 return pool.send(new Target("s", backend.address()), outgoing(), results::add);
             }).get();
             assertEquals("own", new String(next().body(), StandardCharsets.UTF_8));
@@ -229,7 +229,7 @@
         CountDownLatch taken = new CountDownLatch(1);
         CountDownLatch happened = new CountDownLatch(1);
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
-            connection.answer("200 OK", "own");
+            connection.respond("200 OK", "own");
             taken.await();
             connection.write(half);
             happened.countDown();
@@ -237,7 +237,7 @@
             assertEquals("own", body(backend.address()));
             loop.submit(() -> {
                 taken.countDown();
-                assertTrue(happened.await(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertTrue(happened.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 pool.closeIdle(new Target("s", backend.address()));
                 return pool.send(new Target("s", backend.address()), outgoing(), results::add);
             }).get();
@@ -338,7 +338,7 @@
                 connection.reset();
             } else {
                 connection.socket.setKeepAlive(true);
-                connection.answer("200 OK", "first");
+                connection.respond("200 OK", "first");
             }
         })) {
             assertEquals(Outcome.OK, call(backend.address()));
@@ -383,7 +383,7 @@
                 "HTTP/1.1 200 OK\r\nX-Load: TEXT inflight=7, queue=2, util=0.61\r\n"
                 + "Content-Length: 0\r\n\r\n"))) {
             send(backend.address(), true, LONG_US);
-            Result result = results.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            Result result = results.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertEquals(new passhatch.Balancer.LoadReport(7, 2, 0.61), result.report());
         } catch (IOException e) {
             throw new AssertionError(e);
--- a/src/test/java/passhatch/proxy/BadClientsTest.java
+++ b/src/test/java/passhatch/proxy/BadClientsTest.java
@@ -15,28 +15,29 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpTestConnection.Message;
 
 /** Callers that send what they should not, or nothing. */
 @Timeout(60)
 final class BadClientsTest {
 
-    private static final String HIDDEN = "GET /board HTTP/1.1\r\nHost: p\r\nX-Request-Id: hidden\r\n\r\n";
+    private static final String SMUGGLED_REQUEST =
+            "GET /board HTTP/1.1\r\nHost: p\r\nX-Request-Id: hidden\r\n\r\n";
 
     @TempDir
     Path folder;
     private Rig rig;
     private ScriptedServer backend;
-    private final CountDownLatch release = new CountDownLatch(1);
+    private final CountDownLatch heldResponseReleased = new CountDownLatch(1);
 
     @BeforeEach
     void setUp() throws IOException {
         rig = new Rig(folder);
         backend = rig.backend((connection, request) -> {
             if (request.header("X-Request-Id").equals("held")) {
-                release.await();
+                heldResponseReleased.await();
             }
-            connection.answer("200 OK", request.header("X-Request-Id"));
+            connection.respond("200 OK", request.header("X-Request-Id"));
         });
     }
 
@@ -50,11 +51,11 @@
     }
 
     /** Whether the connection ends; what comes before its end is passed over. */
-    private static void awaitEnd(Http client) throws IOException {
-        Message last;
+    private static void awaitEnd(HttpTestConnection client) throws IOException {
+        Message message;
         do {
-            last = client.read();
-        } while (last != null);
+            message = client.read();
+        } while (message != null);
     }
 
     /** Where a request ends is in doubt: a backend might find another in its body. */
@@ -64,11 +65,11 @@
         "Content-Length: 0x0", "Content-Length: 99999999999999999999", "Transfer-Encoding: gzip, chunked",
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked", "Transfer-Encoding: identity",
         "Transfer-Encoding: chunked, gzip", "Content-Length : 0", "no colon here"})
-    void whatMayHideAnotherRequestIsTurnedDownAndNothingMoreIsRead(String headers) throws Exception {
+    void ambiguousFramingIsRejectedAndConnectionClosed(String headers) throws Exception {
         start();
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write("POST /move HTTP/1.1\r\nHost: p\r\nX-Request-Id: outer\r\n" + headers
-                + "\r\n\r\n0\r\n\r\n" + HIDDEN);
+                + "\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST);
         assertEquals(400, client.read().status());
         assertNull(client.read());
         assertEquals("seen", rig.call(Rig.get("seen", "")).text());
@@ -78,11 +79,11 @@
 
     /** HTTP/1.0 has no codings: whoever stands behind may take the chunks for another request. */
     @Test
-    void chunksOfAnOldClientAreTurnedDown() throws Exception {
+    void chunkedBodyOverHttp10IsRejected() throws Exception {
         start();
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write("POST /move HTTP/1.0\r\nX-Request-Id: outer\r\nTransfer-Encoding: chunked"
-                + "\r\n\r\n0\r\n\r\n" + HIDDEN);
+                + "\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST);
         assertEquals(400, client.read().status());
         assertNull(client.read());
         assertTrue(backend.received.isEmpty());
@@ -90,20 +91,20 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "Expect: 100-continue\r\n"})
-    void anOversizedBodyIsTurnedDownUnread(String expect) throws Exception {
+    void oversizedBodyIsRejectedUnread(String expect) throws Exception {
         start();
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write("POST /move HTTP/1.1\r\nHost: p\r\nX-Request-Id: big\r\n" + expect
-                + "Content-Length: 60000000\r\n\r\n" + HIDDEN);
+                + "Content-Length: 60000000\r\n\r\n" + SMUGGLED_REQUEST);
         assertEquals(413, client.read().status());
         assertNull(client.read());
         assertTrue(backend.received.isEmpty());
     }
 
     @Test
-    void aBodyThatWaitsForLeaveGetsIt() throws Exception {
+    void expectContinueIsAnswered() throws Exception {
         start();
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write("POST /move HTTP/1.1\r\nHost: p\r\nX-Request-Id: polite\r\nExpect: 100-continue\r\n"
                 + "Content-Length: 2\r\n\r\n");
         assertEquals(100, client.read().status());
@@ -114,19 +115,19 @@
 
     /** What came before a request that cannot be read is answered first, and by its own answer. */
     @Test
-    void whatCameBeforeIsAnsweredFirst() throws Exception {
+    void requestsBeforeMalformedOneAreAnsweredFirst() throws Exception {
         start();
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.get("held", "") + "nonsense\r\n\r\n");
         backend.next();
-        release.countDown();
+        heldResponseReleased.countDown();
         assertEquals("held", client.read().text());
         assertEquals(400, client.read().status());
         assertNull(client.read());
     }
 
     @Test
-    void aConnectionThatSaysNothingIsClosed() throws Exception {
+    void silentConnectionIsClosed() throws Exception {
         start();
         awaitEnd(rig.client());
     }
@@ -135,23 +136,23 @@
     @ParameterizedTest
     @ValueSource(strings = {"GET /board HTTP/1.1\r\n",
         "POST /move HTTP/1.1\r\nHost: p\r\nX-Request-Id: t\r\nContent-Length: 60000\r\n\r\n", "\r\n"})
-    void aRequestThatTricklesIsEnded(String start) throws Exception {
+    void tricklingRequestIsClosed(String start) throws Exception {
         start();
-        for (boolean kept : new boolean[] {false, true}) {
-            Http client = rig.client();
-            if (kept) {
+        for (boolean reusesConnection : new boolean[] {false, true}) {
+            HttpTestConnection client = rig.client();
+            if (reusesConnection) {
                 client.write(Rig.get("first", ""));
                 assertEquals("first", client.read().text());
             }
-            client.write(start.equals("\r\n") && kept ? "GET" : start);
-            CountDownLatch ended = new CountDownLatch(1);
+            client.write(start.equals("\r\n") && reusesConnection ? "GET" : start);
+            CountDownLatch connectionEnded = new CountDownLatch(1);
             ScriptedServer.daemon(() -> {
                 try {
-                    while (ended.getCount() > 0) {
+                    while (connectionEnded.getCount() > 0) {
                         client.write("\r\n".equals(start) ? "\r\n" : "x");
                         Thread.sleep(50);
                     }
-                } catch (IOException | InterruptedException over) {
+                } catch (IOException | InterruptedException connectionClosed) {
                     // The proxy has ended the connection.
                 }
             });
@@ -160,62 +161,62 @@
             } catch (java.net.SocketException reset) {
                 // So it can end too, as more came than was read.
             }
-            ended.countDown();
+            connectionEnded.countDown();
         }
     }
 
     @Test
-    void hundredsOfRequestsAtOnceAreAnsweredInOrderAndOthersBetween() throws Exception {
+    void hundredsOfPipelinedRequestsAreAnsweredInOrder() throws Exception {
         start();
-        Http client = rig.client();
-        StringBuilder all = new StringBuilder();
+        HttpTestConnection client = rig.client();
+        StringBuilder requests = new StringBuilder();
         for (int i = 0; i < 400; i++) {
-            all.append(i % 2 == 0 ? Rig.get("p" + i, "") : Rig.get("p" + i, "X-Deadline: soon\r\n"));
+            requests.append(i % 2 == 0 ? Rig.get("p" + i, "") : Rig.get("p" + i, "X-Deadline: soon\r\n"));
         }
-        client.write(all.toString());
+        client.write(requests.toString());
         for (int i = 0; i < 400; i++) {
-            Message answer = client.read();
-            assertEquals(i % 2 == 0 ? 200 : 400, answer.status());
-            assertEquals(i % 2 == 0 ? "p" + i : "", answer.text());
+            Message response = client.read();
+            assertEquals(i % 2 == 0 ? 200 : 400, response.status());
+            assertEquals(i % 2 == 0 ? "p" + i : "", response.text());
         }
     }
 
     /** Connections that say nothing give way; one with a request open, or in part, never does. */
     @Test
-    void aCrowdThatSaysNothingShutsNobodyOut() throws Exception {
+    void silentConnectionsAreEvictedForNewClients() throws Exception {
         rig.sockets(64);
         start();
-        Http held = rig.client();
+        HttpTestConnection held = rig.client();
         held.write(Rig.get("held", ""));
         backend.next();
         for (int i = 0; i < 60; i++) {
             rig.client();
         }
         assertEquals("next", rig.call(Rig.get("next", "")).text());
-        release.countDown();
+        heldResponseReleased.countDown();
         assertEquals("held", held.read().text());
     }
 
     /** Kept, those connections would use up the places that the next clients need. */
     @Test
-    void aCrowdThatAsksAndStaysIsLetGoWithItsAnswers() throws Exception {
+    void keepAliveEndsWhenManyClientsAreConnected() throws Exception {
         rig.sockets(80);
         start();
-        int ended = 0;
+        int closedConnections = 0;
         for (int i = 0; i < 60; i++) {
-            Http client = rig.client();
+            HttpTestConnection client = rig.client();
             client.write(Rig.get("r" + i, ""));
-            Message answer = client.read();
-            assertEquals("r" + i, answer.text());
-            boolean last = "close".equals(answer.header("Connection"));
-            ended += last ? 1 : 0;
-            assertTrue(i >= 10 || !last, "few clients are kept");
+            Message response = client.read();
+            assertEquals("r" + i, response.text());
+            boolean closes = "close".equals(response.header("Connection"));
+            closedConnections += closes ? 1 : 0;
+            assertTrue(i >= 10 || !closes, "few clients are kept");
         }
-        assertTrue(ended > 40, ended + " of 60 were let go");
+        assertTrue(closedConnections > 40, closedConnections + " of 60 were let go");
     }
 
     @Test
-    void moreBodiesThanFitAreRefused() {
+    void bodiesBeyondTheMemoryBudgetAreRefused() {
         BodyBudget budget = new BodyBudget(100);
         assertTrue(budget.reserve(60));
         assertFalse(budget.reserve(60));
--- a/src/test/java/passhatch/proxy/ClientConnectionTest.java
+++ b/src/test/java/passhatch/proxy/ClientConnectionTest.java
@@ -22,33 +22,33 @@
     }
 
     /** A network that may be full. */
-    private static final class Network extends EmbeddedChannel {
-        private boolean full;
+    private static final class BlockableChannel extends EmbeddedChannel {
+        private boolean blocked;
 
         @Override
-        protected void doWrite(ChannelOutboundBuffer in) throws Exception {
-            if (!full) {
-                super.doWrite(in);
+        protected void doWrite(ChannelOutboundBuffer outboundBuffer) throws Exception {
+            if (!blocked) {
+                super.doWrite(outboundBuffer);
             }
         }
     }
 
     /** Drains, evictions and the end of the process close what is idle. */
     @Test
-    void isNotIdleWhileSomeOfAnAnswerIsUnsent() {
-        Network network = new Network();
+    void isNotIdleWhileResponseBytesAreUnsent() {
+        BlockableChannel channel = new BlockableChannel();
         ClientServer server = new ClientServer(loop, new Clock(), new EventLog(System.err), null, null, 10,
                 null, new DrainState(loop));
-        ClientConnection connection = new ClientConnection(server, network, 1);
+        ClientConnection connection = new ClientConnection(server, channel, 1);
         assertTrue(connection.isIdle());
-        network.full = true;
-        network.writeAndFlush(Unpooled.wrappedBuffer(new byte[100]));
-        assertTrue(connection.hasUnsent());
+        channel.blocked = true;
+        channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[100]));
+        assertTrue(connection.hasUnsentResponse());
         assertFalse(connection.isIdle());
-        network.full = false;
-        network.flush();
-        assertFalse(connection.hasUnsent());
+        channel.blocked = false;
+        channel.flush();
+        assertFalse(connection.hasUnsentResponse());
         assertTrue(connection.isIdle());
-        network.finishAndReleaseAll();
+        channel.finishAndReleaseAll();
     }
 }
--- a/src/test/java/passhatch/proxy/ClosingConnectionsTest.java
+++ b/src/test/java/passhatch/proxy/ClosingConnectionsTest.java
@@ -31,14 +31,14 @@
 @Timeout(60)
 final class ClosingConnectionsTest {
 
-    private static final String READY = "GET /ready HTTP/1.1\r\nHost: p\r\n\r\n";
+    private static final String READY_REQUEST = "GET /ready HTTP/1.1\r\nHost: p\r\n\r\n";
 
     @TempDir
     Path folder;
     private Rig rig;
-    private final BlockingQueue<String> taken = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> receivedIds = new LinkedBlockingQueue<>();
     private volatile Actions actions;
-    private volatile Runnable beforeSweep;
+    private volatile Runnable onModuleTimer;
 
     @BeforeEach
     void setUp() throws IOException {
@@ -55,40 +55,40 @@
         rig.module((settings, seed, module) -> {
             actions = module;
             return ScriptedModule.of((method, args) -> {
-                if (args[args.length - 1] instanceof Balancer.Request r) {
-                    taken.add(r.id());
-                    if (!r.id().startsWith("held")) {
-                        module.refuse(r.id(), 0);
+                if (args[args.length - 1] instanceof Balancer.Request request) {
+                    receivedIds.add(request.id());
+                    if (!request.id().startsWith("held")) {
+                        module.refuse(request.id(), 0);
                     }
                 } else if (method.equals("timer")) {
-                    beforeSweep.run();
+                    onModuleTimer.run();
                 }
             });
         }).start();
     }
 
-    private Http ready() throws IOException {
-        Http client = rig.client();
-        client.write(READY);
+    private HttpTestConnection connectAndCheckReady() throws IOException {
+        HttpTestConnection client = rig.client();
+        client.write(READY_REQUEST);
         assertEquals(200, client.read().status());
         return client;
     }
 
-    private void awaitTaken(String id) throws InterruptedException {
-        assertEquals(id, taken.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+    private void awaitReceived(String id) throws InterruptedException {
+        assertEquals(id, receivedIds.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /** Of six at once four are taken, and end in one step; the two behind have been read all the same. */
     @Test
-    void whatWasReadAheadIsAnsweredBeforeItsConnectionEnds() throws Exception {
+    void requestsReadAheadAreAnsweredBeforeConnectionCloses() throws Exception {
         rig.sockets(48);
         start();
-        List<Http> crowd = List.of(ready(), ready());
-        Http client = rig.client();
+        List<HttpTestConnection> otherClients = List.of(connectAndCheckReady(), connectAndCheckReady());
+        HttpTestConnection client = rig.client();
         List<String> ids = List.of("held1", "held2", "held3", "held4", "e", "f");
         client.write(String.join("", ids.stream().map(id -> Rig.get(id, "")).toList()));
         for (String id : ids.subList(0, 4)) {
-            awaitTaken(id);
+            awaitReceived(id);
         }
         rig.proxy().inLoop(() -> {
             for (int i = 3; i >= 0; i--) {
@@ -100,16 +100,16 @@
             assertEquals(i == 5 ? "close" : null, client.read().header("Connection"), ids.get(i));
         }
         assertNull(client.read());
-        assertEquals(2, crowd.size());
+        assertEquals(2, otherClients.size());
     }
 
     /** More stands unread when the answer that ends the connection is written: it must not be reset. */
     @Test
-    void anAnswerArrivesAndThenTheEndWhateverStandsUnread() throws Exception {
+    void unreadRequestsDoNotResetTheFinalResponse() throws Exception {
         start();
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.get("held", "Connection: close\r\n"));
-        awaitTaken("held");
+        awaitReceived("held");
         rig.proxy().inLoop(() -> {
             client.write(Rig.get("late", ""));
             actions.refuse("held", 0);
@@ -117,21 +117,21 @@
         }).get();
         assertEquals(503, client.read().status());
         assertNull(client.read(), "the end, and no reset");
-        assertEquals(200, rig.call(READY).status());
+        assertEquals(200, rig.call(READY_REQUEST).status());
         // A reset would have come by now, and this write would fail.
         client.write(Rig.get("later", ""));
-        assertEquals(200, rig.call(READY).status());
-        assertTrue(taken.isEmpty(), "nothing read after the end is taken: " + taken);
+        assertEquals(200, rig.call(READY_REQUEST).status());
+        assertTrue(receivedIds.isEmpty(), "nothing read after the end is taken: " + receivedIds);
     }
 
     /** Both orders: the request has come before the turn of the sweep, or in it, after the loop has read. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aRequestInTheTurnOfTheIdleCloseIsServed(boolean beforeTheTurn) throws Exception {
+    void requestArrivingDuringIdleCloseIsServed(boolean arrivesBeforeTimers) throws Exception {
         rig.standStill();
         start();
-        Http client = ready();
-        beforeSweep = () -> {
+        HttpTestConnection client = connectAndCheckReady();
+        onModuleTimer = () -> {
             rig.pass(20_000);
             try {
                 client.write(Rig.get("a", ""));
@@ -140,8 +140,8 @@
             }
         };
         rig.proxy().inLoop(() -> {
-            if (beforeTheTurn) {
-                beforeSweep.run();
+            if (arrivesBeforeTimers) {
+                onModuleTimer.run();
             } else {
                 actions.wakeAt(0);
             }
@@ -149,7 +149,7 @@
             return new CountDownLatch(1).await(150, TimeUnit.MILLISECONDS);
         }).get();
         assertEquals(503, client.read().status());
-        awaitTaken("a");
+        awaitReceived("a");
     }
 
     /**
@@ -158,45 +158,46 @@
      */
     @ParameterizedTest
     @CsvSource({"true, 3", "true, 0", "false, 3"})
-    void whatComesInTheTurnInWhichTheProcessEndsIsAnswered(boolean keptAsks, int fresh) throws Exception {
+    void requestsArrivingDuringShutdownAreAnswered(boolean keptSendsRequest, int newConnections)
+            throws Exception {
         rig.replace("\"deadlineUs\":10000000", "\"deadlineUs\":300000");
         start();
-        Http kept = ready();
+        HttpTestConnection kept = connectAndCheckReady();
         rig.proxy().shutDown();
         rig.awaitLog("shutting down");
-        List<Http> clients = new ArrayList<>();
+        List<HttpTestConnection> waitingClients = new ArrayList<>();
         rig.proxy().inLoop(() -> {
-            if (keptAsks) {
+            if (keptSendsRequest) {
                 kept.write(Rig.get("kept", ""));
-                clients.add(kept);
+                waitingClients.add(kept);
             } else {
                 kept.close();
             }
-            for (int i = 0; i < fresh; i++) {
-                Http client = rig.client();
+            for (int i = 0; i < newConnections; i++) {
+                HttpTestConnection client = rig.client();
                 client.write(Rig.get("fresh" + i, ""));
-                clients.add(client);
+                waitingClients.add(client);
             }
             return new CountDownLatch(1).await(600, TimeUnit.MILLISECONDS);
         }).get();
-        for (Http client : clients) {
+        for (HttpTestConnection client : waitingClients) {
             assertEquals(503, client.read().status());
         }
-        assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+        assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
     }
 
     /** Killed before it is read, a new connection counts against the proxy; its bytes come in a moment. */
     @Test
-    void aConnectionThatHasJustComeUpIsGivenTheTimeToAskAtTheEnd() throws Exception {
+    void newConnectionMaySendItsRequestDuringShutdown() throws Exception {
         rig.standStill().replace("\"deadlineUs\":10000000", "\"deadlineUs\":300000");
         start();
         rig.proxy().shutDown();
         rig.awaitLog("shutting down");
-        Http fresh = rig.client();
+        HttpTestConnection newClient = rig.client();
         rig.awaitLog("the last connections are waited for");
-        fresh.write(Rig.get("fresh", ""));
-        assertEquals(503, fresh.read().status());
+        newClient.write(Rig.get("fresh", ""));
+        assertEquals(503, newClient.read().status());
         rig.pass(1_000);
-        assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+        assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
     }
 }
--- a/src/test/java/passhatch/proxy/ConsoleTest.java
+++ b/src/test/java/passhatch/proxy/ConsoleTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpTestConnection.Message;
 
 /** The operators' address, over loopback sockets. */
 @Timeout(60)
@@ -48,7 +48,7 @@
     }
 
     private Message console(String call) throws IOException {
-        try (Http caller = Http.to(rig.proxy().consoleAddress())) {
+        try (HttpTestConnection caller = HttpTestConnection.connect(rig.proxy().consoleAddress())) {
             caller.write(call + " HTTP/1.1\r\nHost: c\r\n\r\n");
             Message answer = caller.read();
             assertNull(caller.read(), "one call to a connection");
@@ -79,7 +79,7 @@
 
     /** Waits until a figure has a value. */
     private void awaitFigure(String name, int value) throws Exception {
-        long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+        long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         while (counters().get(name) != value) {
             assertTrue(System.nanoTime() < end, name + " in " + counters());
             Thread.sleep(5);
@@ -135,11 +135,11 @@
     @Test
     void rubbishIsAnsweredAndLargeCallsAreTurnedDown() throws Exception {
         rig.start();
-        try (Http caller = Http.to(rig.proxy().consoleAddress())) {
+        try (HttpTestConnection caller = HttpTestConnection.connect(rig.proxy().consoleAddress())) {
             caller.write("rubbish\r\n\r\n");
             assertEquals(400, caller.read().status());
         }
-        try (Http caller = Http.to(rig.proxy().consoleAddress())) {
+        try (HttpTestConnection caller = HttpTestConnection.connect(rig.proxy().consoleAddress())) {
             caller.write("POST /control/in-service HTTP/1.1\r\nHost: c\r\nContent-Length: 99999999\r\n\r\n");
             assertEquals(413, caller.read().status());
         }
@@ -149,10 +149,10 @@
     @Test
     void callersThatSayNothingKeepNoRealCallOut() throws Exception {
         rig.start();
-        List<Http> holders = new ArrayList<>();
+        List<HttpTestConnection> holders = new ArrayList<>();
         try {
             for (int i = 0; i < Console.MOST_OPEN * 2; i++) {
-                Http holder = Http.to(rig.proxy().consoleAddress());
+                HttpTestConnection holder = HttpTestConnection.connect(rig.proxy().consoleAddress());
                 holders.add(holder);
                 if (i % 2 == 0) {
                     try {
@@ -164,7 +164,7 @@
                 assertEquals(200, status("GET /control/ready"));
             }
         } finally {
-            for (Http holder : holders) {
+            for (HttpTestConnection holder : holders) {
                 holder.close();
             }
         }
@@ -173,7 +173,7 @@
     @Test
     void aCallThatDoesNotComeToItsEndIsTimedOut() throws Exception {
         rig.start();
-        try (Http caller = Http.to(rig.proxy().consoleAddress())) {
+        try (HttpTestConnection caller = HttpTestConnection.connect(rig.proxy().consoleAddress())) {
             caller.write("GET /control/re");
             assertEquals(408, caller.read().status());
         }
@@ -183,17 +183,17 @@
     void countsHowRequestsEndAndWhatIsOut() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         ScriptedServer backend = rig.backend((connection, request) -> {
-            if (request.start().contains("/move")) {
+            if (request.startLine().contains("/move")) {
                 release.await();
             }
-            connection.answer(request.start().contains("/move") ? "500 No" : "200 OK", "");
+            connection.respond(request.startLine().contains("/move") ? "500 No" : "200 OK", "");
         });
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         assertEquals(new TreeSet<>(documentedFigures()), new TreeSet<>(counters().keySet()));
         assertEquals(0, counters().get("error.move"));
         assertEquals(200, rig.call(Rig.get("a", "")).status());
         assertEquals(404, rig.call("GET /nothing HTTP/1.1\r\nHost: p\r\n\r\n").status());
-        Http held = rig.client();
+        HttpTestConnection held = rig.client();
         held.write(Rig.post("/move", "b", ""));
         awaitFigure("dispatches", 2);
         assertEquals(1, counters().get("concurrent"));
@@ -212,7 +212,7 @@
     void aClientThatLeavesIsNotInTheProxyAnyMore() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.get("a", ""));
         backend.next();
         assertEquals(1, counters().get("concurrent"));
@@ -243,7 +243,7 @@
     }
 
     private void awaitServedBy(String text) throws Exception {
-        long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+        long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         for (int i = 0; !rig.call(Rig.get(text + i, "")).text().equals(text); i++) {
             assertTrue(System.nanoTime() < end, "nothing went to " + text);
         }
@@ -256,23 +256,23 @@
             if (request.header("X-Request-Id").equals("held")) {
                 release.await();
             }
-            connection.answer("200 OK", "ok");
+            connection.respond("200 OK", "ok");
         });
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http held = rig.client();
+        HttpTestConnection held = rig.client();
         held.write(Rig.get("held", ""));
         backend.next();
-        Http kept = rig.client();
+        HttpTestConnection kept = rig.client();
         kept.write(Rig.get("kept", ""));
         assertNull(kept.read().header("Connection"));
-        Http unused = rig.client();
+        HttpTestConnection unused = rig.client();
         assertEquals(200, status("POST /control/out-of-service"));
         assertFalse(frontReady());
         assertEquals(200, status("POST /control/out-of-service"));
         assertEquals(200, status("GET /control/ready"), "it can serve");
         assertNull(kept.read(), "idle: closed in time");
         assertNull(unused.read(), "never used: closed in time");
-        Http late = rig.client();
+        HttpTestConnection late = rig.client();
         late.write(Rig.get("late", ""));
         assertEquals("close", late.read().header("Connection"), "what still comes is served");
         release.countDown();
@@ -289,10 +289,10 @@
     void aDrainWaitsForARequestThatHasBegunToComeIn() throws Exception {
         ScriptedServer backend = ScriptedServer.saying("ok");
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http kept = rig.client();
+        HttpTestConnection kept = rig.client();
         kept.write(Rig.get("a", ""));
         assertEquals("ok", kept.read().text());
-        Http idle = rig.client();
+        HttpTestConnection idle = rig.client();
         idle.write(Rig.get("b", ""));
         assertEquals("ok", idle.read().text());
         assertEquals(200, status("POST /control/out-of-service"));
@@ -308,7 +308,7 @@
     void aDrainBrokenOffHalfWayClosesNothing() throws Exception {
         ScriptedServer backend = ScriptedServer.saying("ok");
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        Http kept = rig.client();
+        HttpTestConnection kept = rig.client();
         assertEquals(200, status("POST /control/out-of-service"));
         assertEquals(200, status("POST /control/in-service"));
         assertEquals(200, status("POST /control/in-service"));
@@ -324,7 +324,7 @@
         rig.proxy().shutDown();
         assertEquals(503, status("POST /control/in-service"));
         assertEquals(503, status("GET /control/ready"));
-        assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+        assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
     }
 
     @Test
--- a/src/test/java/passhatch/proxy/DescriptorsTest.java
+++ b/src/test/java/passhatch/proxy/DescriptorsTest.java
@@ -40,12 +40,12 @@
                 entries.add(Rig.entry("s" + i, rig.backend((connection, request) -> {
                     all.countDown();
                     all.await();
-                    connection.answer("200 OK", "x");
+                    connection.respond("200 OK", "x");
                 }).address(), "SERVING"));
             }
             ScriptedServer discovery = rig.backend((connection, request) -> {
                 if (down.get()) {
-                    connection.answer("503 Down", "");
+                    connection.respond("503 Down", "");
                     return;
                 }
                 boolean before = outage.getCount() > 0;
@@ -62,13 +62,13 @@
             try (ProxyProcess proxy = new ProxyProcess(environment(rig, discovery),
                     ProxyProcess.freeAddress(), MOST)) {
                 proxy.awaitReady();
-                List<Http> asked = new ArrayList<>();
+                List<HttpTestConnection> asked = new ArrayList<>();
                 for (int i = 0; i < 60; i++) {
-                    asked.add(ask(Http.to(proxy.address)));
+                    asked.add(ask(HttpTestConnection.connect(proxy.address)));
                 }
-                List<Http> silent = new ArrayList<>();
+                List<HttpTestConnection> silent = new ArrayList<>();
                 for (int i = 0; i < MOST; i++) {
-                    silent.add(Http.to(proxy.address));
+                    silent.add(HttpTestConnection.connect(proxy.address));
                 }
                 down.set(true);
                 outage.countDown();
@@ -96,7 +96,7 @@
         return environment;
     }
 
-    private static Http ask(Http client) throws Exception {
+    private static HttpTestConnection ask(HttpTestConnection client) throws Exception {
         client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
         assertEquals(200, client.read().status());
         return client;
--- a/src/test/java/passhatch/proxy/DiscoveryTest.java
+++ b/src/test/java/passhatch/proxy/DiscoveryTest.java
@@ -39,7 +39,7 @@
     }
 
     private ScriptedServer saying(String text) throws IOException {
-        return rig.backend((connection, request) -> connection.answer("200 OK", text));
+        return rig.backend((connection, request) -> connection.respond("200 OK", text));
     }
 
     private static String up(String name, ScriptedServer backend) {
@@ -60,8 +60,8 @@
         rig.lines.add(indented(Rig.list(9, false, Rig.entry("s", a.address(), "DELETED"),
                 up("t", saying("b")))));
         rig.lines.add(Rig.END_OF_WATCH);
-        assertTrue(rig.discovery().next().start().contains("from=7"));
-        assertTrue(rig.discovery().next().start().contains("from=9"), "all of it counts as heard");
+        assertTrue(rig.discovery().next().startLine().contains("from=7"));
+        assertTrue(rig.discovery().next().startLine().contains("from=9"), "all of it counts as heard");
         assertEquals("b", rig.call(Rig.get("q", "")).text());
     }
 
@@ -71,10 +71,10 @@
         rig.lines.add(Rig.END_OF_WATCH);
         rig.lines.add(Rig.FORGOTTEN);
         rig.lines.add(indented(Rig.list(40, true, up("t", saying("b")))));
-        assertTrue(rig.discovery().next().start().contains("from=7"));
-        assertTrue(rig.discovery().next().start().contains("from=8"));
-        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().start());
-        assertTrue(rig.discovery().next().start().contains("from=40"));
+        assertTrue(rig.discovery().next().startLine().contains("from=7"));
+        assertTrue(rig.discovery().next().startLine().contains("from=8"));
+        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().startLine());
+        assertTrue(rig.discovery().next().startLine().contains("from=40"));
         assertEquals("b", rig.call(Rig.get("q", "")).text());
     }
 
@@ -179,11 +179,11 @@
         CountDownLatch finish = new CountDownLatch(1);
         ScriptedServer a = rig.backend((connection, request) -> {
             finish.await();
-            connection.answer("200 OK", "a");
+            connection.respond("200 OK", "a");
         });
         ScriptedServer b = saying("b");
         rig.start(up("s", a));
-        Http open = rig.client();
+        HttpTestConnection open = rig.client();
         open.write(Rig.post("/move", "open", ""));
         a.next();
         rig.lines.add(Rig.END_OF_WATCH);
@@ -220,7 +220,7 @@
         AtomicInteger calls = new AtomicInteger();
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
             if (calls.incrementAndGet() <= 3) {
-                connection.answer("503 Down", "");
+                connection.respond("503 Down", "");
             } else {
                 String list = Rig.list(8, true, up("s", backend)) + "\n";
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -241,7 +241,7 @@
                 .replace("\"endpoints\":[]", "\"endpoints\":[" + up("s", backend) + "]");
         rig.lines.add(Rig.list(0, false));
         rig.startWithoutList(rig.discovery().address());
-        assertTrue(rig.discovery().next().start().contains("watch=1&from=0"));
+        assertTrue(rig.discovery().next().startLine().contains("watch=1&from=0"));
         Rig.awaitReady(rig.proxy().address());
         assertEquals("a", rig.call(Rig.get("r", "")).text());
     }
@@ -258,7 +258,7 @@
         BlockingQueue<Long> calls = new LinkedBlockingQueue<>();
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
             calls.add(System.nanoTime());
-            connection.answer("503 Crowded", "");
+            connection.respond("503 Crowded", "");
         })) {
             rig.startWithoutList(discovery.address());
             long first = calls.take();
@@ -291,8 +291,8 @@
         BlockingQueue<Long> calls = new LinkedBlockingQueue<>();
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
             calls.add(System.nanoTime());
-            if (request.start().contains("from=7")) {
-                connection.answer("410 Gone", "");
+            if (request.startLine().contains("from=7")) {
+                connection.respond("410 Gone", "");
             } else {
                 String list = Rig.list(8, true, up("s", backend));
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/src/test/java/passhatch/proxy/EndingTest.java
+++ b/src/test/java/passhatch/proxy/EndingTest.java
@@ -41,19 +41,19 @@
     @Test
     void whatStandsInTheAcceptQueueIsServed() throws Exception {
         try (Rig rig = new Rig(folder)) {
-            ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+            ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "x"));
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
-            List<Http> clients = new ArrayList<>();
+            List<HttpTestConnection> clients = new ArrayList<>();
             rig.proxy().inLoop(() -> {
                 for (int i = 0; i < 20; i++) {
-                    Http client = rig.client();
+                    HttpTestConnection client = rig.client();
                     client.write(Rig.get("r" + i, ""));
                     clients.add(client);
                 }
                 rig.proxy().stopListening();
                 return null;
             }).get();
-            for (Http client : clients) {
+            for (HttpTestConnection client : clients) {
                 assertEquals(200, client.read().status());
             }
         }
@@ -64,12 +64,12 @@
     @ValueSource(strings = {"GET", "GET /board/7 HTTP/1.1\r\nHost: p\r\nX-Request-Id: h"})
     void aRequestThatIsHalfInIsWaitedFor(String begun) throws Exception {
         try (Rig rig = new Rig(folder)) {
-            ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+            ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "x"));
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
             String request = "GET /board/7 HTTP/1.1\r\nHost: p\r\nX-Request-Id: half\r\n\r\n";
-            Http half = rig.client();
-            Http idle = rig.client();
-            for (Http kept : List.of(half, idle)) {
+            HttpTestConnection half = rig.client();
+            HttpTestConnection idle = rig.client();
+            for (HttpTestConnection kept : List.of(half, idle)) {
                 kept.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
                 assertEquals(200, kept.read().status());
             }
@@ -78,11 +78,11 @@
             half.write(begun);
             assertNull(idle.read(), "idle ones are closed");
             half.write(request.substring(begun.length()));
-            Http.Message answer = half.read();
+            HttpTestConnection.Message answer = half.read();
             assertEquals(200, answer.status());
             assertEquals("close", answer.header("Connection"));
             assertNull(half.read());
-            assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+            assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
         }
     }
 
@@ -99,16 +99,16 @@
                 }
             });
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
-            Http client = rig.client();
+            HttpTestConnection client = rig.client();
             client.write(Rig.get("r", ""));
-            assertEquals("HTTP/1.1 200 OK", client.line(), "it is passed on");
+            assertEquals("HTTP/1.1 200 OK", client.readLine(), "it is passed on");
             rig.proxy().shutDown();
             // The deadline of 10 s would end it too, and the kill comes at 3.7 s.
             long lateNs = System.nanoTime() + 9_000_000_000L;
-            String rest = new String(client.in().readAllBytes(), StandardCharsets.US_ASCII);
+            String rest = new String(client.input().readAllBytes(), StandardCharsets.US_ASCII);
             assertTrue(System.nanoTime() < lateNs);
             assertTrue(rest.endsWith("1\r\nx\r\n"), rest);
-            assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+            assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
         } finally {
             over.countDown();
         }
@@ -118,16 +118,16 @@
     @Test
     void aSecondSigtermChangesNothing() throws Exception {
         try (Rig rig = new Rig(folder)) {
-            ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+            ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "x"));
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
-            Http client = rig.client();
+            HttpTestConnection client = rig.client();
             client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
             assertEquals(200, client.read().status());
             rig.proxy().shutDown();
             rig.proxy().shutDown();
             client.write(Rig.get("r", ""));
             assertEquals(200, client.read().status());
-            assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+            assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
         }
     }
 }
--- a/src/test/java/passhatch/proxy/HandoverTest.java
+++ b/src/test/java/passhatch/proxy/HandoverTest.java
@@ -66,11 +66,11 @@
         boolean setOut(String id, boolean out) throws Exception {
             CompletableFuture<Boolean> done = new CompletableFuture<>();
             loop.execute(() -> handover.change(state -> state.withOut(id, out), done::complete));
-            return done.get(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            return done.get(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         SharedState next() throws Exception {
-            return states.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+            return states.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         boolean hasSuccessor() throws Exception {
@@ -127,9 +127,9 @@
         first.loop.submit(() -> first.handover.serving(true)).get();
         assertTrue(first.hasSuccessor());
         assertFalse(second.hasSuccessor());
-        assertFalse(first.alone.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertFalse(first.alone.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         second.close();
-        assertTrue(first.alone.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(first.alone.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertFalse(first.hasSuccessor());
         first.close();
     }
--- a/src/test/java/passhatch/proxy/Http.java
+++ b/src/test/java/passhatch/proxy/HttpTestConnection.java
@@ -14,14 +14,14 @@
 import java.util.TreeMap;
 
 /** One end of an HTTP/1.1 connection, byte by byte as a test wants it. */
-final class Http implements Closeable {
+final class HttpTestConnection implements Closeable {
 
-    static final int PATIENCE_MS = 20_000;
+    static final int TIMEOUT_MS = 20_000;
 
     /** A request or an answer as it came. */
-    record Message(String start, Map<String, String> headers, byte[] body) {
+    record Message(String startLine, Map<String, String> headers, byte[] body) {
         int status() {
-            return Integer.parseInt(start.split(" ")[1]);
+            return Integer.parseInt(startLine.split(" ")[1]);
         }
 
         String header(String name) {
@@ -34,17 +34,17 @@
     }
 
     final Socket socket;
-    private final InputStream in;
+    private final InputStream input;
 
-    Http(Socket socket) throws IOException {
+    HttpTestConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
-        this.in = new BufferedInputStream(socket.getInputStream());
+        this.input = new BufferedInputStream(socket.getInputStream());
     }
 
-    static Http to(InetSocketAddress address) throws IOException {
-        return new Http(new Socket(address.getAddress(), address.getPort()));
+    static HttpTestConnection connect(InetSocketAddress address) throws IOException {
+        return new HttpTestConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
     void write(String text) throws IOException {
@@ -56,41 +56,41 @@
         socket.getOutputStream().flush();
     }
 
-    void answer(String status, String body) throws IOException {
+    void respond(String status, String body) throws IOException {
         write("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     /** Reads one message with its body; null at the end of the connection. */
     Message read() throws IOException {
-        String start = line();
-        if (start == null) {
+        String startLine = readLine();
+        if (startLine == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String line = line(); line != null && !line.isEmpty(); line = line()) {
+        for (String line = readLine(); line != null && !line.isEmpty(); line = readLine()) {
             int colon = line.indexOf(':');
             headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-        byte[] body = in.readNBytes(length);
+        byte[] body = input.readNBytes(length);
         if (body.length < length) {
             throw new EOFException("the body is cut off");
         }
-        return new Message(start, headers, body);
+        return new Message(startLine, headers, body);
     }
 
     /** What comes next, byte by byte. */
-    InputStream in() {
-        return in;
+    InputStream input() {
+        return input;
     }
 
-    String line() throws IOException {
+    String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int b = in.read(); b != '\n'; b = in.read()) {
-            if (b < 0) {
+        for (int nextByte = input.read(); nextByte != '\n'; nextByte = input.read()) {
+            if (nextByte < 0) {
                 return null;
             }
-            line.write(b);
+            line.write(nextByte);
         }
         return line.toString(StandardCharsets.UTF_8).strip();
     }
--- a/src/test/java/passhatch/proxy/LargeBodiesTest.java
+++ b/src/test/java/passhatch/proxy/LargeBodiesTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpTestConnection.Message;
 
 /** Bodies and answers that are too long to be held, over loopback sockets. */
 @Timeout(90)
@@ -57,19 +57,19 @@
     }
 
     /** The rest of a request whose first line has been read. */
-    private static byte[] readBody(Http from) throws IOException {
+    private static byte[] readBody(HttpTestConnection from) throws IOException {
         return readBody(from, false);
     }
 
-    private static byte[] readAnswer(Http from) throws IOException {
+    private static byte[] readAnswer(HttpTestConnection from) throws IOException {
         return readBody(from, true);
     }
 
     /** Reads headers and then the body as they say; only an answer may end with its connection. */
-    private static byte[] readBody(Http from, boolean answer) throws IOException {
+    private static byte[] readBody(HttpTestConnection from, boolean answer) throws IOException {
         long length = -1;
         boolean chunked = false;
-        for (String line = from.line(); line != null && !line.isEmpty(); line = from.line()) {
+        for (String line = from.readLine(); line != null && !line.isEmpty(); line = from.readLine()) {
             String lower = line.toLowerCase(Locale.ROOT);
             if (lower.startsWith("content-length:")) {
                 length = Long.parseLong(line.substring("content-length:".length()).strip());
@@ -77,7 +77,7 @@
             chunked |= lower.equals("transfer-encoding: chunked");
         }
         if (!chunked && length < 0) {
-            return answer ? from.in().readAllBytes() : new byte[0];
+            return answer ? from.input().readAllBytes() : new byte[0];
         }
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         if (!chunked) {
@@ -85,24 +85,24 @@
             return body.toByteArray();
         }
         while (true) {
-            String line = from.line();
+            String line = from.readLine();
             if (line == null) {
                 throw new EOFException("no last chunk");
             }
             int size = Integer.parseInt(line.split(";")[0].strip(), 16);
             body.write(exactly(from, size));
             if (size == 0) {
-                for (String trailer = from.line(); trailer != null && !trailer.isEmpty();) {
-                    trailer = from.line();
+                for (String trailer = from.readLine(); trailer != null && !trailer.isEmpty();) {
+                    trailer = from.readLine();
                 }
                 return body.toByteArray();
             }
-            from.line();
+            from.readLine();
         }
     }
 
-    private static byte[] exactly(Http from, int size) throws IOException {
-        byte[] got = from.in().readNBytes(size);
+    private static byte[] exactly(HttpTestConnection from, int size) throws IOException {
+        byte[] got = from.input().readNBytes(size);
         if (got.length < size) {
             throw new EOFException("cut off after " + got.length);
         }
@@ -111,7 +111,7 @@
 
     /** Does something with a connection whose request's first line has been read. */
     private interface Behaviour {
-        void act(Http connection, String start) throws IOException, InterruptedException;
+        void act(HttpTestConnection connection, String start) throws IOException, InterruptedException;
     }
 
     /** A backend that sees to its bodies itself. */
@@ -120,10 +120,11 @@
         ScriptedServer.daemon(() -> {
             try {
                 while (true) {
-                    Http connection = new Http(listener.accept());
+                    HttpTestConnection connection = new HttpTestConnection(listener.accept());
                     ScriptedServer.daemon(() -> {
                         try {
-                            for (String start = connection.line(); start != null; start = connection.line()) {
+                            for (String start = connection.readLine(); start != null; start =
+                                    connection.readLine()) {
                                 behaviour.act(connection, start);
                             }
                         } catch (IOException | InterruptedException ended) {
@@ -145,7 +146,7 @@
     private ServerSocket taking() throws IOException {
         return backend((connection, start) -> {
             bodies.add(readBody(connection));
-            connection.answer("200 OK", "taken");
+            connection.respond("200 OK", "taken");
         });
     }
 
@@ -153,26 +154,27 @@
         rig.start(up("s", backend(behaviour)));
     }
 
-    private Http post(String path, String headers) throws IOException {
-        Http client = rig.client();
+    private HttpTestConnection post(String path, String headers) throws IOException {
+        HttpTestConnection client = rig.client();
         client.write("POST " + path + " HTTP/1.1\r\nHost: p\r\nX-Request-Id: r1\r\n" + headers + "\r\n");
         return client;
     }
 
-    private static void chunk(Http to, byte[] from, int at, int size, String extension) throws IOException {
+    private static void chunk(HttpTestConnection to, byte[] from, int at, int size, String extension)
+            throws IOException {
         to.write(Integer.toHexString(size) + extension + "\r\n");
         to.write(Arrays.copyOfRange(from, at, at + size));
         to.write("\r\n");
     }
 
     private byte[] nextBody() throws InterruptedException {
-        return bodies.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        return bodies.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     @Test
     void aLongBodyArrivesUnchanged() throws Exception {
         rig.start(up("s", taking()));
-        Http client = post("/move", "Content-Length: " + LARGE + "\r\n");
+        HttpTestConnection client = post("/move", "Content-Length: " + LARGE + "\r\n");
         client.write(bytes);
         assertEquals("taken", client.read().text());
         assertArrayEquals(bytes, nextBody());
@@ -184,7 +186,7 @@
     @Test
     void aLongBodyInChunksArrivesUnchanged() throws Exception {
         rig.start(up("s", taking()));
-        Http client = post("/move", "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n");
+        HttpTestConnection client = post("/move", "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n");
         assertEquals(100, client.read().status());
         for (int at = 0; at < LARGE; at += 250_000) {
             chunk(client, bytes, at, 250_000, ";name=value");
@@ -201,11 +203,11 @@
         start((connection, start) -> {
             heard.countDown();
             bodies.add(readBody(connection));
-            connection.answer("200 OK", "taken");
+            connection.respond("200 OK", "taken");
         });
-        Http client = post("/move", "Content-Length: " + LARGE + "\r\n");
+        HttpTestConnection client = post("/move", "Content-Length: " + LARGE + "\r\n");
         client.write(Arrays.copyOf(bytes, LARGE - 1));
-        assertTrue(heard.await(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(heard.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertTrue(bodies.isEmpty());
         client.write(new byte[] {bytes[LARGE - 1]});
         assertEquals("taken", client.read().text());
@@ -237,10 +239,10 @@
                 }
             }
         });
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         for (int i = 0; i < 2; i++) {
             client.write(Rig.get("r" + i, ""));
-            assertEquals("HTTP/1.1 200 OK", client.line());
+            assertEquals("HTTP/1.1 200 OK", client.readLine());
             assertArrayEquals(bytes, readAnswer(client));
         }
     }
@@ -254,9 +256,9 @@
             chunk(connection, bytes, 0, LARGE, "");
             connection.write("0\r\n\r\n");
         });
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.get("r1", "").replace("HTTP/1.1", "HTTP/1.0"));
-        client.line();
+        client.readLine();
         assertArrayEquals(bytes, readAnswer(client));
     }
 
@@ -275,10 +277,10 @@
             }
             written.countDown();
         });
-        Http client = new Http(unreadySocket());
+        HttpTestConnection client = new HttpTestConnection(unreadySocket());
         client.write(Rig.get("r1", ""));
-        for (String line = client.line(); !line.isEmpty();) {
-            line = client.line();
+        for (String line = client.readLine(); !line.isEmpty();) {
+            line = client.readLine();
         }
         int got = 0;
         while (written.getCount() > 0) {
@@ -287,16 +289,16 @@
         while (!counters().contains("edge_proxy.concurrent=0")) {
             got += exactly(client, 1 << 11).length;
         }
-        Http unused = rig.client();
+        HttpTestConnection unused = rig.client();
         rig.proxy().shutDown();
         assertNull(unused.read(), "idle connections are closed");
-        assertEquals(much - got, client.in().readNBytes(much - got).length);
-        assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+        assertEquals(much - got, client.input().readNBytes(much - got).length);
+        assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
         client.close();
     }
 
     private String counters() throws IOException {
-        try (Http caller = Http.to(rig.proxy().consoleAddress())) {
+        try (HttpTestConnection caller = HttpTestConnection.connect(rig.proxy().consoleAddress())) {
             caller.write("GET /control/counters HTTP/1.1\r\nHost: c\r\n\r\n");
             return caller.read().text();
         }
@@ -314,19 +316,19 @@
             seen.await();
             connection.write(chunked ? "1\r\nb\r\n0\r\n\r\n" : "b".repeat(99_999));
         });
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.get("r1", ""));
-        String line = client.line();
+        String line = client.readLine();
         assertEquals("HTTP/1.1 200 OK", line);
         while (!line.isEmpty()) {
-            line = client.line();
+            line = client.readLine();
         }
         if (chunked) {
-            assertEquals("1", client.line());
+            assertEquals("1", client.readLine());
         }
-        assertEquals('a', client.in().read());
+        assertEquals('a', client.input().read());
         seen.countDown();
-        assertEquals('b', client.in().readNBytes(chunked ? 6 : 1)[chunked ? 5 : 0]);
+        assertEquals('b', client.input().readNBytes(chunked ? 6 : 1)[chunked ? 5 : 0]);
     }
 
     /** Where a client reads nothing, its backend is not read either: memory does not grow with the answer. */
@@ -343,7 +345,7 @@
                 written.addAndGet(part.length);
             }
         });
-        Http client = new Http(unreadySocket());
+        HttpTestConnection client = new HttpTestConnection(unreadySocket());
         client.write(Rig.get("r1", ""));
         long before = -1;
         while (written.get() != before || before <= 0) {
@@ -351,7 +353,7 @@
             Thread.sleep(300);
         }
         assertTrue(before < much, "all of it was taken though nobody reads");
-        client.line();
+        client.readLine();
         assertEquals(much, readAnswer(client).length);
         client.close();
     }
@@ -378,11 +380,11 @@
                 broken.countDown();
             }
         });
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.get("r1", ""));
-        client.line();
+        client.readLine();
         client.reset();
-        assertTrue(broken.await(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(broken.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /** The client can tell that it is not whole, however it was framed. */
@@ -405,9 +407,9 @@
             connection.reset();
         };
         rig.start(up("s", backend(breaking)), up("t", backend(breaking)));
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.get("r1", ""));
-        client.line();
+        client.readLine();
         assertThrows(IOException.class, () -> readAnswer(client));
         assertEquals(1, bodies.size(), "once bytes went out nothing is repeated");
     }
@@ -421,7 +423,7 @@
         rig.start(up("a", good), Rig.entry("b", new InetSocketAddress(InetAddress.getLoopbackAddress(),
                 down.getLocalPort()), "SERVING"));
         for (int i = 0; i < 4; i++) {
-            Http client = rig.client();
+            HttpTestConnection client = rig.client();
             client.write("POST /move HTTP/1.1\r\nHost: p\r\nX-Request-Id: r" + i + "\r\nContent-Length: "
                     + LARGE + "\r\n\r\n");
             client.write(bytes);
@@ -439,7 +441,7 @@
             connection.reset();
         };
         rig.start(up("a", backend(breaking)), up("b", backend(breaking)));
-        Http client = post("/buy", "Idempotency-Key: k\r\nContent-Length: " + LARGE + "\r\n");
+        HttpTestConnection client = post("/buy", "Idempotency-Key: k\r\nContent-Length: " + LARGE + "\r\n");
         ScriptedServer.daemon(() -> {
             try {
                 client.write(bytes);
@@ -448,7 +450,7 @@
             }
         });
         Message answer = client.read();
-        assertTrue(answer.status() >= 500, answer.start());
+        assertTrue(answer.status() >= 500, answer.startLine());
         assertEquals("close", answer.header("Connection"), "the rest of the request is not wanted");
         assertEquals(1, bodies.size());
     }
@@ -458,7 +460,7 @@
     void anAnswerThatComesBeforeTheBodyIsWholeIsPassedOn() throws Exception {
         start((connection, start) -> connection.write("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n"
                 + "Content-Length: 0\r\n\r\n"));
-        Http client = post("/move", "Content-Length: " + LARGE + "\r\n");
+        HttpTestConnection client = post("/move", "Content-Length: " + LARGE + "\r\n");
         client.write(Arrays.copyOf(bytes, 200_000));
         assertEquals(503, client.read().status());
     }
@@ -466,8 +468,8 @@
     /** A backend starts on a request when it has all of it: nobody knows whose answer that is. */
     @Test
     void aGoodAnswerThatComesBeforeTheBodyIsWholeIsNone() throws Exception {
-        start((connection, start) -> connection.answer("200 OK", "another's"));
-        Http client = post("/move", "Content-Length: " + LARGE + "\r\n");
+        start((connection, start) -> connection.respond("200 OK", "another's"));
+        HttpTestConnection client = post("/move", "Content-Length: " + LARGE + "\r\n");
         client.write(Arrays.copyOf(bytes, 200_000));
         assertEquals(502, client.read().status());
     }
@@ -481,16 +483,16 @@
         start((connection, start) -> {
             begun.countDown();
             try {
-                connection.in().readAllBytes();
+                connection.input().readAllBytes();
             } finally {
                 ended.countDown();
             }
         });
-        Http client = post("/move", "Content-Length: " + LARGE + "\r\n");
+        HttpTestConnection client = post("/move", "Content-Length: " + LARGE + "\r\n");
         client.write(Arrays.copyOf(bytes, 200_000));
-        assertTrue(begun.await(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(begun.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         client.close();
-        assertTrue(ended.await(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(ended.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /** Some bytes come ever again, so no stall shows; its request has its deadline all the same. */
@@ -503,11 +505,11 @@
                 connection.write("1\r\nx\r\n");
             }
         });
-        Http client = post("/move", "Content-Length: 0\r\nX-Deadline: 900m\r\n");
+        HttpTestConnection client = post("/move", "Content-Length: 0\r\nX-Deadline: 900m\r\n");
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        long patienceEndsNs = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
-        int b = client.in().read();
-        for (; b >= 0 && System.nanoTime() < patienceEndsNs; b = client.in().read()) {
+        long patienceEndsNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
+        int b = client.input().read();
+        for (; b >= 0 && System.nanoTime() < patienceEndsNs; b = client.input().read()) {
             all.write(b);
         }
         over.countDown();
@@ -525,10 +527,10 @@
                 connection.write(chunk);
             }
         });
-        Http client = post("/move", "Content-Length: 0\r\n");
+        HttpTestConnection client = post("/move", "Content-Length: 0\r\n");
         long got = 0;
         byte[] some = new byte[1 << 16];
-        for (int n = client.in().read(some); n >= 0 && got < 40L << 20; n = client.in().read(some)) {
+        for (int n = client.input().read(some); n >= 0 && got < 40L << 20; n = client.input().read(some)) {
             got += n;
         }
         assertTrue(got < 40L << 20);
@@ -545,12 +547,12 @@
                 cut.countDown();
             }
         });
-        Http client = post("/move", "Transfer-Encoding: chunked\r\n");
+        HttpTestConnection client = post("/move", "Transfer-Encoding: chunked\r\n");
         chunk(client, bytes, 0, 200_000, "");
         client.write("zz\r\nGET /board/hidden HTTP/1.1\r\n\r\n");
         assertEquals(400, client.read().status());
         assertNull(client.read());
-        assertTrue(cut.await(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(cut.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertTrue(bodies.isEmpty());
     }
 
@@ -566,7 +568,7 @@
                 cut.countDown();
             }
         });
-        Http client = post("/move", "Transfer-Encoding: chunked\r\n");
+        HttpTestConnection client = post("/move", "Transfer-Encoding: chunked\r\n");
         try {
             for (int i = 0; i < 8; i++) {
                 chunk(client, bytes, 0, LARGE, "");
@@ -575,9 +577,9 @@
         } catch (IOException closed) {
             // It may be closed while there is more to send.
         }
-        assertTrue(cut.await(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(cut.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertTrue(bodies.isEmpty());
-        try (Http next = Http.to(rig.proxy().address())) {
+        try (HttpTestConnection next = HttpTestConnection.connect(rig.proxy().address())) {
             next.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
             assertEquals(200, next.read().status());
         }
@@ -600,11 +602,11 @@
             second.countDown();
             connection.write(Arrays.copyOfRange(answer, 100_000, LARGE));
         });
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.get("r1", "").replace("/board/7", "/board/first")
                 + Rig.get("r2", "").replace("/board/7", "/board/second"));
         for (int i = 1; i <= 2; i++) {
-            client.line();
+            client.readLine();
             byte[] answer = readAnswer(client);
             assertEquals(i, answer[0]);
             assertEquals(LARGE, answer.length);
@@ -617,21 +619,21 @@
         start((connection, start) -> {
             String line = start;
             while (!line.isEmpty()) {
-                line = connection.line();
+                line = connection.readLine();
             }
             byte[] part = new byte[1 << 16];
-            while (got.get() < RequestReader.MOST_BODY) {
-                got.addAndGet(connection.in().readNBytes(part, 0, part.length));
+            while (got.get() < RequestReader.MAX_BODY_BYTES) {
+                got.addAndGet(connection.input().readNBytes(part, 0, part.length));
             }
-            connection.answer("200 OK", "taken");
+            connection.respond("200 OK", "taken");
         });
-        Http client = post("/move", "Content-Length: " + RequestReader.MOST_BODY + "\r\n");
+        HttpTestConnection client = post("/move", "Content-Length: " + RequestReader.MAX_BODY_BYTES + "\r\n");
         byte[] part = new byte[1 << 20];
-        for (int i = 0; i < RequestReader.MOST_BODY / part.length; i++) {
+        for (int i = 0; i < RequestReader.MAX_BODY_BYTES / part.length; i++) {
             client.write(part);
         }
         assertEquals("taken", client.read().text());
-        assertEquals(RequestReader.MOST_BODY, got.get());
+        assertEquals(RequestReader.MAX_BODY_BYTES, got.get());
         assertEquals(List.of(), rig.log.toString(StandardCharsets.UTF_8).lines()
                 .filter(line -> !line.contains(" discovery call 1 (watch from 7) told list 8 ")).toList());
     }
--- a/src/test/java/passhatch/proxy/LateConnectionsTest.java
+++ b/src/test/java/passhatch/proxy/LateConnectionsTest.java
@@ -50,11 +50,12 @@
         rig.close();
     }
 
-    private void breakTheFirst(Http connection, Http.Message request) throws IOException {
+    private void breakTheFirst(HttpTestConnection connection, HttpTestConnection.Message request)
+            throws IOException {
         if (arrived.getAndIncrement() == 0) {
             connection.reset();
         } else {
-            connection.answer("200 OK", request.header("X-Request-Id"));
+            connection.respond("200 OK", request.header("X-Request-Id"));
         }
     }
 
@@ -67,7 +68,8 @@
                         Object result = method.invoke(actions, args);
                         if (method.getName().equals("send") && sends.incrementAndGet() == atSend) {
                             connecting.countDown();
-                            rig.proxy().inLoop(() -> goOn.await(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                            rig.proxy().inLoop(() ->
+                                    goOn.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                         }
                         return result;
                     } catch (InvocationTargetException bad) {
@@ -78,7 +80,7 @@
     }
 
     /** Lets the time pass and the loop go on; gives the answer. */
-    private Http.Message afterMs(Http client, long ms) throws Exception {
+    private HttpTestConnection.Message afterMs(HttpTestConnection client, long ms) throws Exception {
         connecting.await();
         rig.pass(ms);
         goOn.countDown();
@@ -88,7 +90,7 @@
     @Test
     void pastTheDeadlineNothingIsWritten() throws Exception {
         startHolding(1);
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.get("late", "X-Deadline: 8000m\r\n"));
         assertNotEquals(200, afterMs(client, 9_000).status());
         assertEquals(0, arrived.get());
@@ -99,7 +101,7 @@
     @CsvSource({"9100, 1", "5000, 2"})
     void pastTheWindowOfItsKeyNoRepeatIsWritten(long ms, int most) throws Exception {
         startHolding(2);
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.post("/buy", "keyed", "Idempotency-Key: k\r\n"));
         assertEquals(most == 2, afterMs(client, ms).status() == 200);
         assertEquals(most, arrived.get());
--- /dev/null
+++ b/src/test/java/passhatch/proxy/MinimumReceiveRateTest.java
@@ -0,0 +1,55 @@
+package passhatch.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Which requests come in too slowly; time is handed in. */
+final class MinimumReceiveRateTest {
+
+    private static final long SECOND_US = 1_000_000;
+
+    private final MinimumReceiveRate receiveRate = new MinimumReceiveRate();
+
+    /** 64 kB a second, in pieces, after 2 s for the head. */
+    @Test
+    void clientAboveMinimumRateIsNeverTooSlow() {
+        receiveRate.requestStarted();
+        for (long nowUs = 2 * SECOND_US; nowUs < 60 * SECOND_US; nowUs += SECOND_US / 4) {
+            assertFalse(receiveRate.isTooSlow(nowUs, 0), "after " + nowUs);
+            receiveRate.bytesReceived(nowUs, 16_000);
+        }
+    }
+
+    @Test
+    void requestThatStopsArrivingIsTooSlow() {
+        receiveRate.requestStarted();
+        receiveRate.bytesReceived(SECOND_US / 10, 60_000);
+        assertFalse(receiveRate.isTooSlow(2 * SECOND_US, 0));
+        assertTrue(receiveRate.isTooSlow(2_700_000, 0), "an answer is owed 3 s after connecting");
+        receiveRate.requestStarted();
+        receiveRate.bytesReceived(10 * SECOND_US, 60_000);
+        assertFalse(receiveRate.isTooSlow(10 * SECOND_US + SECOND_US / 2, 0));
+        assertTrue(receiveRate.isTooSlow(11 * SECOND_US + 1, 0));
+    }
+
+    @Test
+    void clientBelowMinimumRateIsTooSlow() {
+        receiveRate.requestStarted();
+        for (long nowUs = 0; nowUs < 3 * SECOND_US; nowUs += SECOND_US / 10) {
+            receiveRate.bytesReceived(nowUs, 10);
+        }
+        assertTrue(receiveRate.isTooSlow(3 * SECOND_US, 0));
+    }
+
+    /** It was this proxy that did not read. */
+    @Test
+    void timeWhileReadingIsPausedDoesNotCount() {
+        receiveRate.requestStarted();
+        for (long nowUs = 0; nowUs < 30 * SECOND_US; nowUs += SECOND_US / 10) {
+            receiveRate.readingPaused(nowUs);
+            assertFalse(receiveRate.isTooSlow(nowUs, 0));
+        }
+    }
+}
--- a/src/test/java/passhatch/proxy/ProxyProcess.java
+++ b/src/test/java/passhatch/proxy/ProxyProcess.java
@@ -76,7 +76,7 @@
     }
 
     boolean listens() {
-        try (Http connection = Http.to(address)) {
+        try (HttpTestConnection connection = HttpTestConnection.connect(address)) {
             return connection.socket.isConnected();
         } catch (IOException refused) {
             return false;
@@ -89,7 +89,7 @@
 
     /** Waits until the log has a line with the text. */
     void awaitLog(String text) throws IOException, InterruptedException {
-        long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+        long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         for (String line = ""; !line.contains(text);) {
             if (log.ready()) {
                 line = log.readLine();
@@ -102,7 +102,7 @@
     }
 
     int awaitEnd() throws InterruptedException {
-        if (!process.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS)) {
+        if (!process.waitFor(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
             throw new AssertionError("the process did not end");
         }
         return process.exitValue();
--- a/src/test/java/passhatch/proxy/ProxyServerTest.java
+++ b/src/test/java/passhatch/proxy/ProxyServerTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import passhatch.Balancer;
 import passhatch.Balancer.Outcome;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpTestConnection.Message;
 
 /** The whole proxy over loopback sockets, between scripted callers, backends and discovery. */
 @Timeout(60)
@@ -59,7 +59,7 @@
             connection.write(request.body());
         });
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write("POST /buy/3?q=%20a HTTP/1.1\r\nHost: p\r\nX-Request-Id: r1\r\nIdempotency-Key: k9\r\n"
                 + "X-Tenant: acme\r\nX-Deadline: 8000m\r\nContent-Length: " + body.length + "\r\n\r\n");
         client.write(body);
@@ -67,7 +67,7 @@
         assertEquals(200, answer.status());
         assertArrayEquals(body, answer.body());
         Message sent = backend.next();
-        assertEquals("POST /buy/3?q=%20a HTTP/1.1", sent.start());
+        assertEquals("POST /buy/3?q=%20a HTTP/1.1", sent.startLine());
         assertArrayEquals(body, sent.body());
         assertEquals("r1", sent.header("X-Request-Id"));
         assertEquals("k9", sent.header("Idempotency-Key"));
@@ -80,7 +80,7 @@
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         ProxyServer proxy = ProxyServer.start(ProxyConfig.read(rig.environment()), new EventLog(System.err),
                 passhatch.LeastLoadedBalancer::new);
-        try (Http client = Http.to(proxy.address())) {
+        try (HttpTestConnection client = HttpTestConnection.connect(proxy.address())) {
             client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
             assertEquals(503, client.read().status());
             rig.lines.add(Rig.list(8, true, up("s", backend)));
@@ -110,7 +110,7 @@
     @ParameterizedTest
     @CsvSource({"on_request, false, 200", "on_request, true, 200", "pushed, false, 503", "pushed, true, 503"})
     void isReadyWithTheListRememberedWhereNoneComes(String way, boolean silent, int status) throws Exception {
-        ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+        ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         rig.standStill().replace("\"pushed\"", "\"" + way + "\"")
                 .replace("\"drainGraceUs\"", "\"askEveryUs\":10000000,\"drainGraceUs\"")
                 .replace("\"endpoints\":[]", "\"endpoints\":[" + up("s", backend) + "]");
@@ -133,7 +133,7 @@
     @Test
     void whatIsNotHttpIsTurnedDownAndTheConnectionClosed() throws Exception {
         rig.start();
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write("GET /board HTTP/9.x\r\nbad\r\n\r\n");
         assertEquals(400, client.read().status());
         assertNull(client.read());
@@ -153,7 +153,7 @@
             """)
     void turnsMalformedRequestsDownAndSendsNothing(int status, String start, String header)
             throws Exception {
-        ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK", ""));
+        ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", ""));
         rig.start(up("s", backend));
         assertEquals(status, rig.call(start + "\r\nHost: p\r\nX-Request-Id: bad\r\n" + header + "\r\n\r\n")
                 .status());
@@ -178,13 +178,13 @@
         CountDownLatch release = new CountDownLatch(1);
         ScriptedServer backend = rig.backend((connection, request) -> {
             release.await();
-            connection.answer("200 OK", "mine");
+            connection.respond("200 OK", "mine");
         });
         rig.start(up("s", backend));
-        Http first = rig.client();
+        HttpTestConnection first = rig.client();
         first.write(Rig.get("same", ""));
         backend.next();
-        Http stranger = rig.client();
+        HttpTestConnection stranger = rig.client();
         stranger.write(Rig.get("same", ""));
         assertEquals(400, stranger.read().status());
         stranger.reset();
@@ -247,10 +247,10 @@
 
     @Test
     void answersPipelinedRequestsInOrder() throws Exception {
-        ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK",
+        ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK",
                 request.header("X-Request-Id")));
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 10; i++) {
             all.append(Rig.get("p" + i, ""));
@@ -267,11 +267,11 @@
             if (request.header("X-Request-Id").equals("slow")) {
                 connection.socket.getInputStream().read();
             } else {
-                connection.answer("200 OK", "quick");
+                connection.respond("200 OK", "quick");
             }
         });
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         long start = System.nanoTime();
         client.write(Rig.post("/move", "slow", "X-Deadline: 1500m\r\n"));
         Message answer = client.read();
@@ -313,8 +313,8 @@
                 actions.refuse(r.id(), 0);
             }
         })).start(up("s", backend));
-        Http first = rig.client();
-        Http second = rig.client();
+        HttpTestConnection first = rig.client();
+        HttpTestConnection second = rig.client();
         first.write(Rig.get("first", ""));
         heldUp.await();
         second.write(Rig.get("second", "X-Deadline: 5000m\r\n"));
@@ -325,9 +325,9 @@
     /** Its time counts from its last byte, however late in it that comes. */
     @Test
     void aRequestInPiecesHasItsTimeFromItsLastByte() throws Exception {
-        ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK", "x"));
+        ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "x"));
         rig.standStill().start(up("s", backend));
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         String request = Rig.post("/move", "r", "X-Deadline: 1000m\r\n");
         for (int at = 0; at < request.length(); at += 40) {
             client.write(request.substring(at, Math.min(at + 40, request.length())));
@@ -352,11 +352,11 @@
     @Test
     void aQuickRefusalTellsWhenToReturnToo() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> {
-            if (request.start().startsWith("POST")) {
+            if (request.startLine().startsWith("POST")) {
                 connection.write("HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
             } else {
                 Thread.sleep(20);
-                connection.answer("200 OK", "");
+                connection.respond("200 OK", "");
             }
         });
         rig.limit("maxAttempts", 1).start(up("s", backend));
@@ -370,7 +370,7 @@
     /** A fault of the caller's must not use up what others need to be sent again. */
     @Test
     void whatABackendFindsFaultyIsNotSentToTheNext() throws Exception {
-        ScriptedServer.Script faulty = (connection, request) -> connection.answer("400 Bad Request", "");
+        ScriptedServer.Script faulty = (connection, request) -> connection.respond("400 Bad Request", "");
         ScriptedServer a = rig.backend(faulty);
         ScriptedServer b = rig.backend(faulty);
         rig.start(up("a", a), up("b", b));
@@ -386,7 +386,7 @@
             String id = request.header("X-Request-Id");
             seen.add(id);
             if (id.startsWith("warm") || seen.stream().filter(id::equals).count() == 2) {
-                connection.answer("200 OK", id);
+                connection.respond("200 OK", id);
             }
         };
         rig.start(up("a", rig.backend(script)), up("b", rig.backend(script)));
@@ -420,7 +420,7 @@
         ScriptedServer full = rig.backend(once);
         try (good) {
             rig.start(up("full", full));
-            Http client = rig.client();
+            HttpTestConnection client = rig.client();
             client.write(Rig.post("/move", "r", ""));
             full.next();
             rig.lines.add(Rig.list(9, false, up("good", good)));
@@ -431,7 +431,7 @@
     /** The list changes between the send and the moment the connection is up. */
     @Test
     void nothingIsWrittenToABackendThatDrainsWhileConnecting() throws Exception {
-        ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK", ""));
+        ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", ""));
         EndpointList drains = EndpointList.of(JSON.std.mapFrom(Rig.list(9, false,
                 Rig.entry("s", backend.address(), "DRAINING"))), List.of("a"), List.of("m"));
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
@@ -445,39 +445,39 @@
             }
         })).start(up("s", backend));
         assertEquals(503, rig.call(Rig.post("/move", "r", "")).status());
-        assertEquals(Outcome.NOT_SENT, outcomes.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertEquals(Outcome.NOT_SENT, outcomes.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertTrue(backend.received.isEmpty());
     }
 
     @Test
     void takesABrokenWatchUpFromTheLastIndexAndSkipsBadLines() throws Exception {
-        ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK", "s"));
+        ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         rig.start(up("s", backend));
-        assertTrue(rig.discovery().next().start().contains("from=7"));
+        assertTrue(rig.discovery().next().startLine().contains("from=7"));
         rig.lines.add("{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":5}]}");
         rig.lines.add("not json");
         rig.lines.add(Rig.END_OF_WATCH);
-        assertTrue(rig.discovery().next().start().contains("from=8"), "bad lines do not count as heard");
+        assertTrue(rig.discovery().next().startLine().contains("from=8"), "bad lines do not count as heard");
         assertEquals("s", rig.call(Rig.get("a", "")).text(), "the last list stays");
-        ScriptedServer other = rig.backend((connection, request) -> connection.answer("200 OK", "t"));
+        ScriptedServer other = rig.backend((connection, request) -> connection.respond("200 OK", "t"));
         rig.lines.add(Rig.list(12, false, Rig.entry("s", backend.address(), "DELETED"), up("t", other)));
         rig.lines.add(Rig.END_OF_WATCH);
-        assertTrue(rig.discovery().next().start().contains("from=12"));
+        assertTrue(rig.discovery().next().startLine().contains("from=12"));
         assertEquals("t", rig.call(Rig.get("b", "")).text());
     }
 
     @Test
     void fetchesTheWholeListWhereTheVersionIsForgotten() throws Exception {
-        ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK", "s"));
+        ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         rig.start(up("s", backend));
-        assertTrue(rig.discovery().next().start().contains("from=7"));
-        ScriptedServer other = rig.backend((connection, request) -> connection.answer("200 OK", "t"));
+        assertTrue(rig.discovery().next().startLine().contains("from=7"));
+        ScriptedServer other = rig.backend((connection, request) -> connection.respond("200 OK", "t"));
         rig.lines.add(Rig.END_OF_WATCH);
         rig.lines.add(Rig.FORGOTTEN);
         rig.lines.add(Rig.list(40, true, up("t", other)));
-        assertTrue(rig.discovery().next().start().contains("from=8"));
-        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().start());
-        assertTrue(rig.discovery().next().start().contains("from=40"));
+        assertTrue(rig.discovery().next().startLine().contains("from=8"));
+        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().startLine());
+        assertTrue(rig.discovery().next().startLine().contains("from=40"));
         assertEquals("t", rig.call(Rig.get("b", "")).text());
     }
 
@@ -485,12 +485,12 @@
     void aClientThatLeavesEndsItsAttempt() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         rig.start(up("s", backend));
-        Http leaves = rig.client();
+        HttpTestConnection leaves = rig.client();
         leaves.write(Rig.get("a", ""));
         backend.next();
         leaves.close();
         backend.awaitEnded();
-        Http resets = rig.client();
+        HttpTestConnection resets = rig.client();
         resets.write(Rig.get("b", ""));
         backend.next();
         resets.reset();
@@ -501,7 +501,7 @@
     void aClientThatEndsItsSendingIsAnsweredAndLetGo() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         rig.start(up("s", backend));
-        Http client = rig.client();
+        HttpTestConnection client = rig.client();
         client.write(Rig.get("a", ""));
         backend.next();
         client.socket.shutdownOutput();
@@ -512,15 +512,16 @@
 
     @Test
     void probesAskForTheLoad() throws Exception {
-        ScriptedServer backend = rig.backend((connection, request) -> connection.answer("200 OK",
-                request.start().contains("/status/load") ? "TEXT inflight=0, queue=0, util=0.1" : "served"));
+        ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK",
+                request.startLine().contains("/status/load") ? "TEXT inflight=0, queue=0, util=0.1"
+                : "served"));
         rig.limit("probes", true).start(up("s", backend));
         assertEquals("served", rig.call(Rig.get("a", "")).text());
         // A call goes out without the answer to its probe where that is slow, so either may come first.
         Message first = backend.next();
-        boolean probeFirst = first.start().contains("/status/load");
+        boolean probeFirst = first.startLine().contains("/status/load");
         Message probe = probeFirst ? first : backend.next();
-        assertEquals("GET /status/load HTTP/1.1", probe.start());
+        assertEquals("GET /status/load HTTP/1.1", probe.startLine());
         assertNull(probe.header("X-Request-Id"), "a probe is no request");
     }
 
--- a/src/test/java/passhatch/proxy/RehearsalTest.java
+++ b/src/test/java/passhatch/proxy/RehearsalTest.java
@@ -49,13 +49,13 @@
         Path jar = folder.resolve("passhatch.jar");
         Process pack = new ProcessBuilder(tool("jar"), "--create", "--file", jar.toString(), "-C",
                 "target/classes", ".").inheritIO().start();
-        assertTrue(pack.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(pack.waitFor(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         String classes = jar + System.getProperty("path.separator") + System.getProperty("java.class.path");
         Path archive = folder.resolve("classes.jsa");
         Process rehearsal = new ProcessBuilder(tool("java"), "-XX:ArchiveClassesAtExit=" + archive,
                 "-Xlog:class+load:file=" + folder.resolve("loaded"), "-cp", jars(classes),
                 "passhatch.adapter.Main", "rehearse").inheritIO().start();
-        assertTrue(rehearsal.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(rehearsal.waitFor(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(0, rehearsal.exitValue());
         assertTrue(Files.size(archive) > 0);
         String loaded = Files.readString(folder.resolve("loaded"));
@@ -104,7 +104,7 @@
         Process rehearsal = new ProcessBuilder(tool("java"), "-Xlog:class+load:file=" + log, "-cp",
                 System.getProperty("java.class.path"), "passhatch.adapter.Main", "rehearse").inheritIO()
                 .start();
-        assertTrue(rehearsal.waitFor(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(rehearsal.waitFor(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(0, rehearsal.exitValue());
         return Files.readString(log);
     }
--- a/src/test/java/passhatch/proxy/ReloadTest.java
+++ b/src/test/java/passhatch/proxy/ReloadTest.java
@@ -43,7 +43,7 @@
     }
 
     private ScriptedServer saying(String text) throws IOException {
-        return rig.backend((connection, request) -> connection.answer("200 OK", text));
+        return rig.backend((connection, request) -> connection.respond("200 OK", text));
     }
 
     private static String up(String name, ScriptedServer backend) {
@@ -57,7 +57,7 @@
     private static void awaitServedBy(InetSocketAddress proxy, String text) throws Exception {
         String got = "";
         for (int i = 0; !got.equals(text); i++) {
-            try (Http client = Http.to(proxy)) {
+            try (HttpTestConnection client = HttpTestConnection.connect(proxy)) {
                 client.write(Rig.get(text + i, ""));
                 got = client.read().text();
             }
@@ -94,8 +94,8 @@
         Map<String, String> env = rig.discoveryIn(at(other.discovery().address()));
         rig.proxy().reload(env);
         other.lines.add(Rig.list(8, true, up("t", saying("b"))));
-        assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().next().start());
-        assertTrue(other.discovery().next().start().contains("watch=1&from=8"));
+        assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().next().startLine());
+        assertTrue(other.discovery().next().startLine().contains("watch=1&from=8"));
         awaitServedBy(rig.proxy().address(), "b");
         rig.lines.add(Rig.list(9, true));
         rig.lines.add(Rig.list(9, true));
@@ -129,7 +129,7 @@
         rig.start(up("s", saying("a")));
         rig.proxy().reload(rig.discoveryIn(at(other.discovery().address())));
         rig.lines.add(Rig.list(9, false));
-        assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().next().start());
+        assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().next().startLine());
     }
 
     @Test
--- a/src/test/java/passhatch/proxy/Rig.java
+++ b/src/test/java/passhatch/proxy/Rig.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicLong;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpTestConnection.Message;
 
 /** A proxy under test with the discovery it watches. Lists of backends are handed in line by line. */
 final class Rig implements Closeable {
@@ -50,13 +50,13 @@
     Rig(Path folder) throws IOException {
         this.folder = folder;
         this.discovery = new ScriptedServer((connection, request) -> {
-            if (!request.start().contains("watch=1")) {
-                connection.answer("200 OK", lines.take());
+            if (!request.startLine().contains("watch=1")) {
+                connection.respond("200 OK", lines.take());
                 return;
             }
             if (FORGOTTEN.equals(lines.peek())) {
                 lines.take();
-                connection.answer("410 Gone", "");
+                connection.respond("410 Gone", "");
                 return;
             }
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -194,9 +194,9 @@
     }
 
     static void awaitReady(InetSocketAddress address) throws IOException, InterruptedException {
-        long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+        long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         while (System.nanoTime() < end) {
-            try (Http client = Http.to(address)) {
+            try (HttpTestConnection client = HttpTestConnection.connect(address)) {
                 client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
                 if (client.read().status() == 200) {
                     return;
@@ -209,7 +209,7 @@
 
     /** Waits until the log has a line with the text. */
     void awaitLog(String text) throws InterruptedException {
-        long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+        long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         while (!log.toString(StandardCharsets.UTF_8).contains(text)) {
             if (System.nanoTime() > end) {
                 throw new AssertionError("no line '" + text + "' in: " + log);
@@ -233,8 +233,8 @@
         return proxy;
     }
 
-    Http client() throws IOException {
-        Http client = Http.to(proxy.address());
+    HttpTestConnection client() throws IOException {
+        HttpTestConnection client = HttpTestConnection.connect(proxy.address());
         open.add(client);
         return client;
     }
@@ -250,7 +250,7 @@
 
     /** Sends one request on a connection of its own and returns the answer. */
     Message call(String request) throws IOException {
-        try (Http client = Http.to(proxy.address())) {
+        try (HttpTestConnection client = HttpTestConnection.connect(proxy.address())) {
             client.write(request);
             return client.read();
         }
--- a/src/test/java/passhatch/proxy/ScriptedServer.java
+++ b/src/test/java/passhatch/proxy/ScriptedServer.java
@@ -9,21 +9,21 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpTestConnection.Message;
 
 /** A small backend, or discovery, on loopback that does with each request what its script says. */
 final class ScriptedServer implements Closeable {
 
     /** What to do with one request. */
     interface Script {
-        void handle(Http connection, Message request) throws IOException, InterruptedException;
+        void handle(HttpTestConnection connection, Message request) throws IOException, InterruptedException;
     }
 
     /** Leaves the request without an answer. */
     static final Script SILENT = (connection, request) -> { };
 
     final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
-    final BlockingQueue<Http> ended = new LinkedBlockingQueue<>();
+    final BlockingQueue<HttpTestConnection> ended = new LinkedBlockingQueue<>();
     final AtomicInteger connections = new AtomicInteger();
     private final ServerSocket listener;
     private final Script script;
@@ -36,7 +36,7 @@
 
     /** A backend that answers every request with its own text. */
     static ScriptedServer saying(String text) throws IOException {
-        return new ScriptedServer((connection, request) -> connection.answer("200 OK", text));
+        return new ScriptedServer((connection, request) -> connection.respond("200 OK", text));
     }
 
     InetSocketAddress address() {
@@ -45,7 +45,7 @@
 
     /** The next request received. */
     Message next() throws InterruptedException {
-        Message message = received.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS);
+        Message message = received.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (message == null) {
             throw new AssertionError("no request came");
         }
@@ -54,7 +54,7 @@
 
     /** Waits until the other side has ended a connection. */
     void awaitEnded() throws InterruptedException {
-        if (ended.poll(Http.PATIENCE_MS, TimeUnit.MILLISECONDS) == null) {
+        if (ended.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS) == null) {
             throw new AssertionError("no connection was ended");
         }
     }
@@ -62,7 +62,7 @@
     private void accept() {
         try {
             while (true) {
-                Http connection = new Http(listener.accept());
+                HttpTestConnection connection = new HttpTestConnection(listener.accept());
                 connections.incrementAndGet();
                 daemon(() -> serve(connection));
             }
@@ -71,7 +71,7 @@
         }
     }
 
-    private void serve(Http connection) {
+    private void serve(HttpTestConnection connection) {
         try {
             for (Message m = connection.read(); m != null; m = connection.read()) {
                 received.add(m);
--- a/src/test/java/passhatch/proxy/SettingsTest.java
+++ b/src/test/java/passhatch/proxy/SettingsTest.java
@@ -60,7 +60,7 @@
     @Test
     void twoProxiesDoNotSeeEachOthersSettings() throws Exception {
         try (Rig one = new Rig(folder); Rig other = new Rig(otherFolder)) {
-            ScriptedServer backend = one.backend((connection, request) -> connection.answer("200 OK", "x"));
+            ScriptedServer backend = one.backend((connection, request) -> connection.respond("200 OK", "x"));
             String entry = Rig.entry("s", backend.address(), "SERVING");
             one.start(entry);
             other.replace("\"name\":\"buy\"", "\"name\":\"board-fee\"")
--- a/src/test/java/passhatch/proxy/ShutdownTest.java
+++ b/src/test/java/passhatch/proxy/ShutdownTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpTestConnection.Message;
 
 /** SIGTERM, to a process of its own. */
 @Timeout(60)
@@ -24,14 +24,14 @@
         try (Rig rig = new Rig(folder)) {
             ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
-            Http client = rig.client();
+            HttpTestConnection client = rig.client();
             client.write(Rig.post("/move", "stuck", ""));
             backend.next();
             long start = System.nanoTime();
             rig.proxy().shutDown();
             assertEquals(502, client.read().status());
             assertTrue((System.nanoTime() - start) / 1_000_000 < 8_000);
-            assertTrue(rig.proxy().awaitEnd(Http.PATIENCE_MS));
+            assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
         }
     }
 
@@ -43,22 +43,22 @@
                 if (!request.header("X-Request-Id").equals("quick")) {
                     release.await();
                 }
-                connection.answer("200 OK", request.header("X-Request-Id"));
+                connection.respond("200 OK", request.header("X-Request-Id"));
             });
             rig.lines.add(Rig.list(8, true, Rig.entry("s", backend.address(), "SERVING")));
             try (ProxyProcess proxy = new ProxyProcess(rig.environment())) {
-                Http held = Http.to(proxy.address);
+                HttpTestConnection held = HttpTestConnection.connect(proxy.address);
                 held.write(Rig.get("held", ""));
                 backend.next();
-                Http kept = Http.to(proxy.address);
-                Http unused = Http.to(proxy.address);
+                HttpTestConnection kept = HttpTestConnection.connect(proxy.address);
+                HttpTestConnection unused = HttpTestConnection.connect(proxy.address);
                 proxy.signal("TERM");
                 proxy.awaitLog("shutting down");
-                Http open = Http.to(proxy.address);
+                HttpTestConnection open = HttpTestConnection.connect(proxy.address);
                 open.write(Rig.get("quick", ""));
                 assertNull(open.read().header("Connection"), "clients may have nowhere else to go yet");
                 backend.next();
-                Http late = Http.to(proxy.address);
+                HttpTestConnection late = HttpTestConnection.connect(proxy.address);
                 late.write(Rig.get("late", ""));
                 backend.next();
                 kept.write(Rig.get("kept", ""));
@@ -68,7 +68,7 @@
                 }
                 assertNull(unused.read(), "an idle connection is closed while others are served");
                 release.countDown();
-                for (Http client : new Http[] {held, late, kept}) {
+                for (HttpTestConnection client : new HttpTestConnection[] {held, late, kept}) {
                     Message answer = client.read();
                     assertEquals(200, answer.status());
                     assertEquals("close", answer.header("Connection"));
--- a/src/test/java/passhatch/proxy/UpgradeTest.java
+++ b/src/test/java/passhatch/proxy/UpgradeTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import passhatch.proxy.Http.Message;
+import passhatch.proxy.HttpTestConnection.Message;
 
 /** A second process of the same proxy, started beside the first. */
 @Timeout(120)
@@ -58,7 +58,7 @@
             });
             env.put("PROXY_DISCOVERY", "127.0.0.1:" + discovery.address().getPort());
             proxy = new ProxyProcess(env, listen);
-            long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+            long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
             while (!says("GET /control/ready")) {
                 if (System.nanoTime() > end) {
                     proxy.close();
@@ -69,7 +69,7 @@
         }
 
         boolean says(String call) {
-            try (Http caller = Http.to(console)) {
+            try (HttpTestConnection caller = HttpTestConnection.connect(console)) {
                 caller.write(call + " HTTP/1.1\r\nHost: c\r\n\r\n");
                 return caller.read().status() == 200;
             } catch (IOException notThereYet) {
@@ -84,7 +84,7 @@
     }
 
     private static String call(InetSocketAddress proxy, String id) throws IOException {
-        try (Http client = Http.to(proxy)) {
+        try (HttpTestConnection client = HttpTestConnection.connect(proxy)) {
             client.write(Rig.get(id, ""));
             Message answer = client.read();
             return answer == null ? "nothing" : answer.status() + " " + answer.text();
@@ -99,13 +99,13 @@
             if (request.header("X-Request-Id").equals("held")) {
                 release.await();
             }
-            connection.answer("200 OK", "b");
+            connection.respond("200 OK", "b");
         });
         String[] list = {Rig.entry("a", a.address(), "SERVING"), Rig.entry("b", b.address(), "SERVING")};
         InetSocketAddress listen = ProxyProcess.freeAddress();
         try (Version first = new Version(listen, list)) {
             assertTrue(first.says("POST /control/backends/a/offline"));
-            Http held = Http.to(listen);
+            HttpTestConnection held = HttpTestConnection.connect(listen);
             held.write(Rig.get("held", ""));
             assertEquals("held", b.next().header("X-Request-Id"));
             AtomicBoolean stop = new AtomicBoolean();
@@ -136,10 +136,10 @@
                     Thread.sleep(5);
                 }
                 stop.set(true);
-                assertEquals("200 b", clients.get(Http.PATIENCE_MS, TimeUnit.MILLISECONDS));
+                assertEquals("200 b", clients.get(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 assertEquals(0, a.received.size(), "what is out by hand is out for the successor too");
                 assertTrue(second.says("POST /control/backends/a/online"));
-                long end = System.nanoTime() + Http.PATIENCE_MS * 1_000_000L;
+                long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
                 for (int i = 0; a.received.isEmpty(); i++) {
                     call(listen, "again" + i);
                     assertTrue(System.nanoTime() < end, "it gets nothing after the call back");
@@ -166,7 +166,7 @@
     }
 
     private static int ready(InetSocketAddress proxy) throws IOException {
-        try (Http front = Http.to(proxy)) {
+        try (HttpTestConnection front = HttpTestConnection.connect(proxy)) {
             front.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
             return front.read().status();
         }
