--- a/src/main/java/passhatch/proxy/BodyBudget.java
+++ b/src/main/java/passhatch/proxy/BodyBudget.java
@@ -1,19 +1,21 @@
 package passhatch.proxy;
 
 /**
- * The bytes of request bodies that may be held at a time, over all connections. Each connection may have some
- * requests of the largest size open, and all of them together would not fit the heap.
+ * Limits the bytes of client input that are buffered at a time, over all connections. Each connection may
+ * have several requests of the maximum size open, and together these would not fit into the heap. Not
+ * thread-safe: used by the event loop only.
  */
 final class BodyBudget {
 
     private final int maxBytes;
     private int reservedBytes;
 
+    /** Creates a budget of which nothing is reserved. */
     BodyBudget(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Takes so many bytes; false, with nothing taken, where there are not so many left. */
+    /** Reserves the bytes; returns false and reserves nothing if fewer are left. */
     boolean reserve(int bytes) {
         if (reservedBytes + bytes > maxBytes) {
             return false;
@@ -22,6 +24,7 @@
         return true;
     }
 
+    /** Gives back bytes that were reserved before. */
     void release(int bytes) {
         reservedBytes -= bytes;
     }
--- a/src/main/java/passhatch/proxy/Channels.java
+++ b/src/main/java/passhatch/proxy/Channels.java
@@ -2,14 +2,14 @@
 
 import io.netty.channel.Channel;
 
-/** What is done alike with all channels. */
+/** Utility methods for Netty channels. */
 final class Channels {
 
     private Channels() { }
 
     /**
-     * Closes a channel unless it is closed. Where no socket could be made, Netty gives a channel that was
-     * never open and that throws when it is closed.
+     * Closes a channel that is open and ignores others. If no socket could be created, Netty returns a
+     * channel that was never open and that throws when it is closed.
      */
     static void close(Channel channel) {
         if (channel.isOpen()) {
--- a/src/main/java/passhatch/proxy/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/ClientConnection.java
@@ -29,33 +29,41 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One client's connection. Answers leave in the order of the requests. */
+/**
+ * A client's HTTP connection. Requests may be pipelined; responses are written in the order of the requests.
+ * Used by the event loop only; times ending in {@code AtUs} or {@code SinceUs} are microseconds of the
+ * proxy's clock.
+ */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    /** Requests of one connection that may be unanswered before no more are read from it. */
+    /** Unanswered complete requests of a connection beyond which no more of its input is handled. */
     private static final int MAX_PIPELINED_REQUESTS = 4;
-    /** How long a connection that is ended is still read, so that no reset overtakes its last answer. */
+    /** How long input is read after the last response, so that no reset overtakes that response. */
     private static final long LINGER_TIMEOUT_MS = 200;
-    /** And how much. */
+    /** How much input is read after the last response before the connection is closed. */
     private static final int MAX_LINGER_BYTES = 1 << 18;
-    /** A request that is answered before all of it is in may go on for so long. */
+    /** How long the remainder of a request is read that was answered before it was complete. */
     private static final long REQUEST_REMAINDER_TIMEOUT_MS = 2_000;
-    /** A client that takes nothing of an answer for so long is gone. */
+    /** A client that accepts no bytes of a response for this long is considered gone. */
     private static final int WRITE_TIMEOUT_S = 10;
-    /** A connection of which not all is read may have ended; after so long its requests are not sent on. */
+    /**
+     * A close by the client is not seen while input before it is unread. Once input has been unread for this
+     * long, the requests of the connection are not sent to backends.
+     */
     private static final long MAX_UNREAD_US = 200_000;
 
-    /** A request on a connection, until its answer is written. */
+    /** A request of the connection until its response is written. */
     private static final class PipelinedRequest implements ProxyLoop.Responder, RequestBody.Source,
             AnswerStream.Owner {
         private final ClientConnection connection;
         private final HttpRequest head;
         private final RequestBody body;
         private final boolean keepAlive;
-        /** Its id while the proxy holds it. */
+        /** The request's id; null if the proxy does not process the request, as for {@code /ready}. */
         private String activeId;
+        /** The complete response; null until there is one, or if it is streamed. */
         private Answer response;
-        /** Its answer, where that is passed on as it comes. */
+        /** The response, if it is forwarded while it is received from the backend; null otherwise. */
         private AnswerStream responseStream;
 
         PipelinedRequest(ClientConnection connection, HttpRequest head, RequestBody body, boolean keepAlive) {
@@ -96,7 +104,10 @@
             connection.channel.close();
         }
 
-        /** A body that is on its way must not wait until its client has sent all of it. */
+        /**
+         * A client that is still sending the body counts as present: the body must be forwarded before all
+         * of it has been read.
+         */
         @Override
         public boolean isPresent() {
             return this == connection.incompleteRequest || !connection.mayHaveMissedClose();
@@ -114,7 +125,7 @@
             }
         }
 
-        /** The id by which the proxy holds it while it owes an answer, or null. */
+        /** The id of the request if the proxy still owes its response; null otherwise. */
         private String unansweredId() {
             return response == null && (responseStream == null || !responseStream.isEnded())
                     ? activeId : null;
@@ -135,31 +146,34 @@
     private final RequestDecoder decoder = new RequestDecoder();
     private final RequestReader reader;
     private final ReadAheadBuffer readAhead;
+    /** Requests whose responses are not written completely, in the order of arrival. */
     private final ArrayDeque<PipelinedRequest> requests = new ArrayDeque<>();
     private final MinimumReceiveRate receiveRate = new MinimumReceiveRate();
-    /** The turn of a request that was taken while it still came in; null where none is. */
+    /** The request that was accepted before its body was complete, while the body is incomplete; or null. */
     private PipelinedRequest incompleteRequest;
     private final long connectedAtUs;
-    /** When the request that is coming in began to; 0 where none is. */
+    /** When the first bytes arrived of a request that is incomplete; 0 if there is none. */
     private long incompleteSinceUs;
-    /** When the last answer was written. */
+    /** When the last response was written; 0 if none was. */
     private long lastResponseAtUs;
-    /** What has come in is handled in a later step of the loop. */
+    /** Whether a task of the event loop is scheduled that handles buffered input. */
     private boolean handlingScheduled;
-    /** Since when not all is read that the client may have sent; 0 where all is. */
+    /** Since when input of the client may be unread; 0 if all of it has been read. */
     private long unreadSinceUs;
-    /** Nothing more is taken: the connection ends with the answers to what is open. */
+    /** Whether further input is discarded: the connection closes after the responses to open requests. */
     private boolean inputDiscarded;
-    /** The connection ends with the request that is coming in, of which nothing is wanted any more. */
+    /** Whether the connection closes when the remainder of an incomplete request has been discarded. */
     private boolean closesAfterIncompleteRequest;
+    /** Whether {@link #writeResponses} is running; it does nothing if it is called again meanwhile. */
     private boolean writingResponses;
-    /** What came last could not be taken; there may be more of it, unread. */
+    /** Whether the last request was rejected; there may be unread input that belongs to it. */
     private boolean requestRejected;
-    /** Its last answer is written. */
+    /** Whether the last response of this connection has been written. */
     private boolean lastResponseWritten;
-    /** Its client has been told of its end and has not closed it yet. */
+    /** Whether the sending side is shut down and the client has not closed its side yet. */
     private boolean lingering;
 
+    /** Creates the handler of a connection that is being established now. */
     ClientConnection(ClientServer server, Channel channel, long nowUs) {
         this.server = server;
         this.channel = channel;
@@ -168,41 +182,46 @@
         this.connectedAtUs = nowUs;
     }
 
-    /** What stands between the socket and this. */
+    /** The handlers of the channel's pipeline, from the socket up to and including this one. */
     ChannelHandler[] handlers() {
         return new ChannelHandler[] {new WriteTimeoutHandler(WRITE_TIMEOUT_S), decoder,
             new HttpResponseEncoder(), this};
     }
 
-    /** Whether it may be closed for another: no request is open and none has begun to come in. */
+    /** Whether no request is open or received in part and no response is unsent, so that it can be closed. */
     boolean isIdle() {
         return requests.isEmpty() && readAhead.isEmpty() && incompleteSinceUs == 0 && !inputDiscarded
                 && !hasUnsentResponse();
     }
 
-    /** Whether some of an answer may not have arrived yet: closed now, it could be cut off. */
+    /** Whether part of a response may not have reached the client: closing now could cut it off. */
     boolean hasUnsentResponse() {
         return channel.isActive() && (lingering || hasUnflushedBytes());
     }
 
-    /** Whether some of an answer has not been handed to the network yet. */
+    /** Whether part of a response has not been handed to the network yet. */
     private boolean hasUnflushedBytes() {
         return channel.isActive()
                 && channel.bytesBeforeUnwritable() < channel.config().getWriteBufferHighWaterMark();
     }
 
+    /** Whether a response has been written on this connection. */
     boolean hasSentResponse() {
         return lastResponseAtUs > 0;
     }
 
-    /** Since when it is idle. */
+    /** When an idle connection became idle, in microseconds: at its last response, or when it connected. */
     long idleSinceUs() {
         return hasSentResponse() ? lastResponseAtUs : connectedAtUs;
     }
 
     /**
-     * Ends a connection whose first request does not come, or on which one does not come to an end. Its time
-     * runs from the start, however often a few bytes come.
+     * Closes the connection if it is idle for too long, and rejects a request that is received too slowly.
+     * The time for a request counts from its start, or from connecting for the first one, however often a
+     * few bytes arrive.
+     *
+     * @param firstRequestTimeoutUs idle time allowed until the first request begins, in microseconds
+     * @param idleTimeoutUs idle time allowed after a response, in microseconds
      */
     void closeIfStalled(long nowUs, long firstRequestTimeoutUs, long idleTimeoutUs) {
         if (incompleteSinceUs > 0) {
@@ -212,7 +231,7 @@
                 receiveRate.readingPaused(nowUs);
             }
             if (receiveRate.isTooSlow(nowUs, startedAtUs)) {
-                server.logClientEvent("a request did not come to an end");
+                server.logClientEvent("request refused with 408 Request Timeout: it is received too slowly");
                 rejectRequest(HttpResponseStatus.REQUEST_TIMEOUT);
             }
         } else if (isIdle()
@@ -221,7 +240,7 @@
         }
     }
 
-    /** Closes it; it is a fault of this program where a request on it is owed its answer. */
+    /** Closes the connection. A request that is left without a response is reported as a violation. */
     void close() {
         if (channel.isActive()) {
             requests.stream()
@@ -231,12 +250,12 @@
         channel.close();
     }
 
-    /** Whether nothing is owed any more and only its client's end is waited for. */
+    /** Whether the last response is sent and the connection only waits for the client to close. */
     boolean isLingering() {
         return lingering;
     }
 
-    /** Whether it is idle still once all is read that has come in by now. */
+    /** Reads input that has arrived by now, and returns whether the connection is idle after that. */
     boolean isIdleAfterRead() {
         if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafeChannel) {
             unsafeChannel.read();
@@ -244,7 +263,10 @@
         return isIdle();
     }
 
-    /** Closes it unless a request has come that is not read yet: its client would have to send it again. */
+    /**
+     * Closes the connection if it is idle, also after reading: a request that has arrived unread would be
+     * lost, and its client would have to send it again.
+     */
     void closeIfIdle() {
         if (!isIdleAfterRead()) {
             return;
@@ -258,8 +280,9 @@
     }
 
     /**
-     * Ends its sending, and passes over what still comes until its client closes it too. Closed at once, a
-     * reset would answer what comes, and take with it what has not arrived of the last answer.
+     * Shuts down the sending side and discards input until the client closes the connection too. If it were
+     * closed at once, further input would cause a reset, which can discard the part of the last response that
+     * has not reached the client.
      */
     private void startLingering() {
         if (!channel.isActive() || ((SocketChannel) channel).isInputShutdown()) {
@@ -274,7 +297,7 @@
         channel.eventLoop().schedule(this::close, LINGER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Lets go of all that comes, up to its limit. */
+    /** Discards input of a lingering connection, and closes it after {@link #MAX_LINGER_BYTES}. */
     private final class DiscardingHandler extends ChannelInboundHandlerAdapter {
         private int discardedBytes;
 
@@ -295,8 +318,8 @@
     }
 
     /**
-     * Holds what has come in until all is read that has: a client that sent a request and left must not have
-     * it sent on.
+     * Buffers input until all that has arrived is read, so that a request is not sent to a backend if its
+     * client has closed the connection right behind it.
      */
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
@@ -322,18 +345,21 @@
         ctx.fireChannelReadComplete();
     }
 
+    /** Whether input has been unread for so long that the client may have closed the connection unnoticed. */
     private boolean mayHaveMissedClose() {
         return unreadSinceUs > 0 && server.nowUs() - unreadSinceUs > MAX_UNREAD_US;
     }
 
-    /** The rest of what came behind the last request is read, so that the client's end is seen. */
+    /** Ignores input behind the last request, which is read only so that a close by the client is seen. */
     private void discardPart(HttpObject part) {
         if (closesAfterIncompleteRequest && part instanceof LastHttpContent) {
             close();
         }
     }
 
-    /** Handles what has come in, in a later step: within this one it would go ever deeper. */
+    /**
+     * Handles buffered input in a later task of the event loop, as direct calls would recurse ever deeper.
+     */
     private void scheduleHandling() {
         if (!handlingScheduled) {
             handlingScheduled = true;
@@ -345,8 +371,9 @@
     }
 
     /**
-     * Guards the loop and the memory against a connection that sends on and on: no more than a few requests
-     * are open or are handled in one step of the loop, and none is taken while answers are not.
+     * Handles buffered input. Guards the event loop and the memory against a client that sends continuously:
+     * at most {@link #MAX_PIPELINED_REQUESTS} are open or handled in one task of the event loop, and none is
+     * handled while the client does not accept responses.
      */
     private void handleBufferedParts() {
         int completedRequests = 0;
@@ -365,11 +392,13 @@
         updateIncompleteSince();
         if (!readAhead.isFull() && !inputDiscarded && !channel.config().isAutoRead()) {
             channel.config().setAutoRead(true);
-            // A timer runs once the loop has read what there is; where nothing is, no read tells of it.
+            // The task runs after the event loop has read the input that is there. If there is none,
+            // channelReadComplete is not called.
             channel.eventLoop().schedule(this::clearUnreadUnlessFull, 1, TimeUnit.MILLISECONDS);
         }
     }
 
+    /** Notes that all input has been read, unless reading is paused because the buffer is full. */
     private void clearUnreadUnlessFull() {
         if (!readAhead.isFull()) {
             unreadSinceUs = 0;
@@ -382,7 +411,7 @@
                 && channel.isWritable() && !reader.isBodyFull();
     }
 
-    /** Takes no more: what is held, and all that still comes, is passed over. */
+    /** Discards buffered input and all that is still to come. */
     private void discardFurtherInput() {
         inputDiscarded = true;
         while (!readAhead.isEmpty()) {
@@ -395,9 +424,11 @@
         }
     }
 
+    /** Handles the next part of a request; accepts the request if it is complete or too long to buffer. */
     private void handlePart(HttpObject part, long receivedAtUs) {
         if (part instanceof HttpRequest && mayHaveMissedClose()) {
-            server.logClientEvent("more requests came at once than are read; their client may have left");
+            server.logClientEvent("request refused with 503 Service Unavailable: input was unread"
+                    + " for too long to tell whether its client is still connected");
             rejectRequest(HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
@@ -437,7 +468,11 @@
         }
     }
 
-    /** Takes a request that is whole, or too long to wait until it is. */
+    /**
+     * Accepts a request that is complete, or whose body is too long to be buffered until it is.
+     *
+     * @param waitedUs how long its last part has been buffered, in microseconds
+     */
     private void acceptRequest(RequestReader.IncomingRequest incoming, long waitedUs) {
         boolean complete = incoming.body().isWhole();
         PipelinedRequest request = new PipelinedRequest(this, incoming.head(), incoming.body(),
@@ -460,6 +495,7 @@
         }
     }
 
+    /** Answers {@code /ready}, and passes any other request to the proxy. */
     private void dispatchRequest(PipelinedRequest request, RequestReader.IncomingRequest incoming,
             long waitedUs) throws RequestParser.InvalidRequestException {
         if (incoming.head().method().equals(HttpMethod.GET) && incoming.head().uri().equals("/ready")) {
@@ -470,14 +506,14 @@
         ProxyRequest proxyRequest = server.parse(incoming, waitedUs);
         request.activeId = proxyRequest.id();
         if (!server.proxy().take(proxyRequest, request)) {
-            // It is another's: nothing that becomes of this connection may touch it.
+            // The id belongs to another request, which must not be affected by events of this connection.
             request.activeId = null;
             throw new RequestParser.InvalidRequestException(HttpResponseStatus.BAD_REQUEST,
                     "X-Request-Id is already in use");
         }
     }
 
-    /** Notes when a request began to come in that is not whole yet. */
+    /** Notes when an incomplete request began to arrive. */
     private void updateIncompleteSince() {
         if (inputDiscarded || !reader.hasIncompleteRequest() && !decoder.hasUndeliveredBytes()) {
             incompleteSinceUs = 0;
@@ -495,7 +531,7 @@
         }
     }
 
-    /** Answers what cannot be taken, after what came before it, and takes nothing behind it. */
+    /** Rejects the current request, after the responses to earlier ones, and discards further input. */
     private void rejectRequest(HttpResponseStatus status) {
         requestRejected = true;
         discardFurtherInput();
@@ -507,7 +543,7 @@
             request = new PipelinedRequest(this, null, null, false);
             requests.add(request);
         } else if (request.unansweredId() != null) {
-            // It is not the request that its client meant, and must not run.
+            // The request was not received as the client meant it, so it must not be executed.
             server.proxy().clientGone(request.activeId);
         }
         if (request.responseStream != null) {
@@ -517,7 +553,7 @@
         }
     }
 
-    /** Writes what is answered, up to the first request that is not. */
+    /** Writes the responses that are available, up to the first request that has none. */
     private void writeResponses() {
         if (writingResponses) {
             return;
@@ -551,8 +587,10 @@
     }
 
     /**
-     * Only the last of the requests that have been read may end the connection: its client would take those
-     * behind it for taken, and they would be lost. One that is not all in must.
+     * Whether the connection stays open after the response to a request. Only the response to the last
+     * request that has been read may close it on the proxy's own account: the client would assume that
+     * requests behind it were accepted, and they would be lost. The response to an incomplete request always
+     * closes it.
      */
     private boolean keepsAlive(PipelinedRequest request) {
         boolean isLast = readAhead.isEmpty()
@@ -561,6 +599,7 @@
                 && !(isLast && (requestRejected || server.closesAfterLastResponse()));
     }
 
+    /** Writes a complete response, and closes the connection after it if it is not kept alive. */
     private void writeResponse(Answer response, boolean keepAlive) {
         DefaultFullHttpResponse httpResponse = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                 response.status(), Unpooled.wrappedBuffer(response.body()));
@@ -578,10 +617,10 @@
         }
     }
 
-    /** Lets the answer arrive and then closes the connection, on which nothing more is read. */
+    /** Closes the connection when the last response has been delivered; further input is discarded. */
     private void closeAfter(ChannelFuture written) {
         if (incompleteRequest != null) {
-            // The rest of its request is read and let go: a reset could overtake the answer.
+            // The remainder of the request is read and discarded: a reset could overtake the response.
             incompleteRequest = null;
             closesAfterIncompleteRequest = true;
             incompleteSinceUs = 0;
@@ -601,7 +640,7 @@
         });
     }
 
-    /** No answer is owed any more for what is open here. */
+    /** Abandons all open requests, as their client is gone or the connection fails; releases all buffers. */
     private void abandonRequests() {
         List<PipelinedRequest> abandoned = List.copyOf(requests);
         requests.clear();
@@ -618,7 +657,10 @@
         incompleteSinceUs = 0;
     }
 
-    /** A client that ends its sending has gone; one that reads on is told that it gets nothing. */
+    /**
+     * Treats a client that shuts down its sending side as gone: its requests are abandoned. In case it still
+     * reads, it is answered with 502 unless a response has begun.
+     */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
@@ -630,6 +672,7 @@
         }
     }
 
+    /** Abandons all open requests, answers with 502 if no response has begun, and closes the connection. */
     private void failConnection() {
         boolean canSendResponse = requests.isEmpty() ? !readAhead.isEmpty()
                 : requests.peek().responseStream == null || !requests.peek().responseStream.isBegun();
@@ -649,10 +692,10 @@
         server.connectionClosed(this);
     }
 
-    /** An error in here ends what this connection has out, and nothing else. */
+    /** Closes this connection on an error in its handlers; other connections are not affected. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        server.logClientEvent("client connection: " + cause);
+        server.logClientEvent("client connection failed and is closed: " + cause);
         if (requestRejected || lingering) {
             channel.close();
         } else {
--- a/src/main/java/passhatch/proxy/ClientServer.java
+++ b/src/main/java/passhatch/proxy/ClientServer.java
@@ -17,30 +17,34 @@
 import java.util.concurrent.TimeUnit;
 import passhatch.proxy.EventLog.Kind;
 
-/** The callers' side: takes requests over HTTP and gives each its one answer. */
+/**
+ * The HTTP server for clients: accepts their connections, limits how many are open and closes those that are
+ * idle or stalled. Used by the event loop only.
+ */
 final class ClientServer {
 
     private static final int ACCEPT_BACKLOG = 1024;
+    /** How many times a connection is read in a row before other connections get their turn. */
     private static final int MAX_READS_PER_LOOP = 16;
-    /** How often connections are looked through for those that stall. */
+    /** How often connections are checked for being stalled. */
     private static final long STALLED_CHECK_INTERVAL_US = 100_000;
-    /** A connection on which nothing is asked at all is closed after this long. */
+    /** A connection on which no request begins is closed after this long. */
     private static final long FIRST_REQUEST_TIMEOUT_US = 2_600_000;
-    /** A connection that is kept but not used is closed after this long. */
+    /** A connection that has served a request is closed after being idle for this long. */
     private static final long IDLE_TIMEOUT_US = 15_000_000;
-    /** Part of the connections that may be open from which on no more of them are kept after an answer. */
+    /** Fraction of the maximum number of connections above which they are closed after a response. */
     private static final double KEEP_ALIVE_MAX_FRACTION = 0.6;
-    /** While this proxy is drained, a new connection is closed that asks nothing for this long. */
+    /** While the proxy is draining, a connection on which no request begins is closed after this long. */
     private static final long DRAINING_FIRST_REQUEST_TIMEOUT_US = 500_000;
-    /** And sooner where others need its place, but not before this. */
+    /** Idle time after which a connection that has served a request may be evicted for a new one. */
     private static final long MIN_IDLE_BEFORE_EVICTION_US = 2_000_000;
-    /** The first bytes come within this time of connecting where the client has something to ask. */
+    /** A client that has a request to send delivers its first bytes within this time of connecting. */
     private static final long NEW_CONNECTION_GRACE_US = 100_000;
-    /** How often the loop checks whether it was held up. */
+    /** How often the event loop measures its own delay. */
     private static final long LOOP_CHECK_INTERVAL_US = 10_000;
-    /** Lateness of a beat that says nothing: timers fire up to a millisecond or two late. */
+    /** Delays up to this are ignored, as timers commonly fire a millisecond or two late. */
     private static final long TIMER_TOLERANCE_US = 2_000;
-    /** Beyond what the rules allow for between reading the clock and writing. */
+    /** Delays from this on are logged: the rules allow less between reading the clock and writing. */
     private static final long LOGGED_LOOP_DELAY_US = 150_000;
 
     private final EventLoop loop;
@@ -51,16 +55,19 @@
     private int maxConnections;
     private final BodyBudget budget;
     private final DrainState drainState;
-    /** In the order of connecting. */
+    /** Open connections in the order of connecting. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
+    /** Null until the server listens. */
     private SharedListener listener;
     private long nextLoopCheckUs;
+    /** Delay of the event loop found by the last check. */
     private long lastLoopDelayUs;
 
     /**
-     * A server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param maxConnections connections held at a time; an idle one is closed for one more
+     * @param maxConnections maximum number of open connections; beyond it an idle one is closed for a new one
+     * @param budget limits the memory for buffered client input
      */
     ClientServer(EventLoop loop, Clock clock, EventLog log, RequestParser parser, ProxyLoop proxy,
             int maxConnections, BodyBudget budget, DrainState drainState) {
@@ -78,9 +85,9 @@
     }
 
     /**
-     * Starts to listen; gives the address once it does.
+     * Starts to listen; the future completes when the socket is bound, or with the error that prevented it.
      *
-     * @param shared whether other processes may listen there too
+     * @param shared whether other processes may listen at the same address (SO_REUSEPORT)
      */
     ChannelFuture listen(InetSocketAddress address, boolean shared) {
         ServerBootstrap bootstrap = new ServerBootstrap().group(loop).channelFactory(SharedListener::new)
@@ -106,43 +113,43 @@
         });
     }
 
-    /** Reads on until nothing is left: behind a request there may be its client's end. */
+    /** Reads until no bytes are left: a request may be followed by the client's close. */
     private static RecvByteBufAllocator readUntilEmpty() {
         return new AdaptiveRecvByteBufAllocator(64, 2048, BackendPool.MOST_READ)
                 .respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_LOOP);
     }
 
-    /** Whether clients can connect. */
+    /** Whether the server is listening, so that clients can connect. */
     boolean isListening() {
         return listener != null && listener.isActive();
     }
 
-    /** Holds to another number of connections from now on. */
+    /** Changes the maximum number of open connections and closes idle ones beyond it. */
     void setMaxConnections(int newMaximum) {
         maxConnections = newMaximum;
         evictExcessConnections();
     }
 
-    /** Takes no more connections; those open, and those that have connected by now, are served on. */
+    /** Stops listening. Open connections and those already in the accept queue are served further. */
     void stopListening() {
         if (listener != null) {
             listener.emptyAndClose();
         }
     }
 
-    /** Whether a request is open or half in. */
+    /** Whether a connection has a request that is unanswered or incomplete, or a response that is unsent. */
     boolean hasOpenRequests() {
         return connections.stream().anyMatch(connection -> !connection.isIdle());
     }
 
-    /** Whether some of an answer has not been handed to the network yet. */
+    /** Whether part of a response may not have been delivered yet. */
     boolean hasUnsentResponses() {
         return connections.stream().anyMatch(ClientConnection::hasUnsentResponse);
     }
 
     /**
-     * Whether a first request may be on its way: behind a connection that stands in the accept queue, or on
-     * one that has only just come up.
+     * Whether a client's first request may be on its way: on a connection that is still in the accept queue,
+     * or on one that was established less than {@link #NEW_CONNECTION_GRACE_US} ago.
      */
     boolean mayHaveUnreadRequests() {
         long nowUs = clock.nowUs();
@@ -155,7 +162,10 @@
                 && nowUs - connection.idleSinceUs() < NEW_CONNECTION_GRACE_US;
     }
 
-    /** Closes the connections on which nothing is out or about to be, as clients expect between requests. */
+    /**
+     * Closes idle connections, which clients expect between requests. New connections on which a first
+     * request may be on its way stay open.
+     */
     void closeIdleConnections() {
         long nowUs = clock.nowUs();
         List.copyOf(connections).stream()
@@ -163,24 +173,25 @@
                 .forEach(ClientConnection::closeIfIdle);
     }
 
+    /** Measures the delay of the event loop, as the delay of this task, and schedules the next check. */
     private void checkLoopDelay() {
         lastLoopDelayUs = currentLoopDelayUs();
         if (lastLoopDelayUs >= LOGGED_LOOP_DELAY_US) {
-            log.line(Kind.STANDSTILL, "the loop stood still for " + lastLoopDelayUs / 1_000 + " ms");
+            log.line(Kind.STANDSTILL, "the event loop was blocked for " + lastLoopDelayUs / 1_000 + " ms");
         }
         nextLoopCheckUs = clock.nowUs() + LOOP_CHECK_INTERVAL_US;
         loop.schedule(this::checkLoopDelay, LOOP_CHECK_INTERVAL_US, TimeUnit.MICROSECONDS);
     }
 
-    /** How late the next beat is already, where that is more than timers commonly are. */
+    /** How late the next delay check is already, beyond the tolerance for timers; 0 if it is not late. */
     private long currentLoopDelayUs() {
         return Math.max(0, clock.nowUs() - nextLoopCheckUs - TIMER_TOLERANCE_US);
     }
 
     /**
-     * How long a request read now may have stood unread: its client's time has run since it was sent, also
-     * while this process was held up and read nothing. The loop may beat before it reads what came meanwhile,
-     * so a beat's lateness counts until the next one.
+     * How long a request that is read now may have been waiting unread. The client's deadline counts from
+     * when it sent the request, also while this process was blocked. The event loop may run the delay check
+     * before it reads what arrived meanwhile, so a measured delay counts until the next check.
      */
     private long maxUnreadUs() {
         return Math.max(lastLoopDelayUs, currentLoopDelayUs());
@@ -188,20 +199,22 @@
 
     // ---- connections
 
-    /** Counts a new connection in; the one that can best be spared goes where there are too many. */
+    /** Registers a new connection, and closes idle ones if too many are open. */
     void connectionOpened(ClientConnection connection) {
         connections.add(connection);
         evictExcessConnections();
     }
 
+    /** Removes a closed connection, and accepts new ones again if that was paused. */
     void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
         evictExcessConnections();
     }
 
     /**
-     * Guards the descriptors: one connection more than may be open closes another that has no request open.
-     * If none can be spared no more are accepted until one can; those wait in the system's queue.
+     * Guards against running out of file descriptors: when the maximum number of connections is reached,
+     * closes connections without an open request. If none can be closed, accepting pauses until one can; new
+     * clients wait in the system's accept queue meanwhile.
      */
     private void evictExcessConnections() {
         long nowUs = clock.nowUs();
@@ -214,7 +227,7 @@
                 continue;
             }
             log.line(Kind.EVICTION, connections.size()
-                    + " clients are connected: one that is idle is let go");
+                    + " client connections are open, which is the maximum: closing an idle one");
             connections.remove(candidate);
             candidate.close();
         }
@@ -224,9 +237,9 @@
     }
 
     /**
-     * First those that are about to be closed, and those that never sent a request, the oldest first, as soon
-     * as they had the time to; then those that have been idle longest, but none that may be about to send its
-     * next.
+     * Returns the connection to evict: the oldest that is lingering, or has not sent a request although it
+     * had the time to; otherwise the one that has been idle longest, unless its client may be about to send
+     * its next request. Null if there is none.
      */
     private ClientConnection findEvictionCandidate(long nowUs) {
         ClientConnection longestIdle = null;
@@ -250,6 +263,7 @@
         return longestIdle;
     }
 
+    /** Checks all connections for being idle or stalled, and schedules the next check. */
     private void closeStalledConnections() {
         long nowUs = clock.nowUs();
         boolean closesIdle = drainState.closesIdle();
@@ -262,8 +276,9 @@
         loop.schedule(this::closeStalledConnections, STALLED_CHECK_INTERVAL_US, TimeUnit.MICROSECONDS);
     }
 
-    // ---- what connections ask of it
+    // ---- called by connections
 
+    /** The memory budget for buffered client input. */
     BodyBudget budget() {
         return budget;
     }
@@ -272,31 +287,38 @@
         return proxy;
     }
 
-    /** Reads a request that has waited so long behind others of its connection. */
+    /**
+     * Parses a request. The time that it has been waiting unread is subtracted from its deadline, unless its
+     * body is incomplete: then its time counts from its last byte.
+     *
+     * @param waitedUs how long it has waited behind others of its connection, in microseconds
+     */
     ProxyRequest parse(RequestReader.IncomingRequest incoming, long waitedUs)
             throws RequestParser.InvalidRequestException {
         return parser.parse(incoming, incoming.body().isWhole() ? Math.max(waitedUs, maxUnreadUs()) : 0);
     }
 
+    /** Whether {@code /ready} is answered with 200. */
     boolean isReady() {
         return proxy.readiness().isReady() && drainState.takesClients();
     }
 
     /**
-     * Whether the last answer that a connection owes ends it. Guards against a crowd that asks and stays:
-     * kept connections would use up the places, and while none is free, those that wait to be accepted grow
-     * so old that their clients have left by the time they are served.
+     * Whether a connection is closed after the last response that it owes. Guards against many clients that
+     * keep their connections open: these would use up the maximum, and clients waiting in the accept queue
+     * meanwhile would have left by the time they are served.
      */
     boolean closesAfterLastResponse() {
         return drainState.answersEndConnections()
                 || connections.size() > maxConnections * KEEP_ALIVE_MAX_FRACTION;
     }
 
+    /** The time in microseconds of the proxy's clock. */
     long nowUs() {
         return clock.nowUs();
     }
 
-    /** Tells the operator of a fault of a client's. */
+    /** Logs an error caused by a client. */
     void logClientEvent(String message) {
         log.line(Kind.CLIENT, message);
     }
--- a/src/main/java/passhatch/proxy/ProxyRequest.java
+++ b/src/main/java/passhatch/proxy/ProxyRequest.java
@@ -3,16 +3,18 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A caller's request.
+ * A client's request with its validated headers.
  *
- * @param requestClass its class, by position in the settings
- * @param tenant its tenant, by position
- * @param timeLeftUs until its client gives up, from now or from its last byte on; may be negative
- * @param expectedWorkUs a guess at its work; 0 where there is none
- * @param clientRetry true where the client says that it tries again
- * @param uri path and query, to go on unchanged
- * @param idempotencyKey the key of a keyed request, or null
- * @param body may still be coming in
+ * @param id the value of X-Request-Id
+ * @param requestClass index of its class in the settings
+ * @param tenant index of its tenant in the settings; the number of tenants if it names none
+ * @param timeLeftUs microseconds until its client gives up, counted from now or, if the body is still
+ *     incomplete, from its last byte; may be negative
+ * @param expectedWorkUs the client's estimate of the work, in microseconds; 0 if it gave none
+ * @param clientRetry true if the client marked the request as a retry
+ * @param uri path and query, forwarded unchanged
+ * @param idempotencyKey the value of Idempotency-Key; null if the request has none
+ * @param body the body, possibly still incomplete
  */
 record ProxyRequest(String id, int requestClass, int tenant, long timeLeftUs, long expectedWorkUs,
         boolean clientRetry,
--- a/src/main/java/passhatch/proxy/ReadAheadBuffer.java
+++ b/src/main/java/passhatch/proxy/ReadAheadBuffer.java
@@ -6,18 +6,24 @@
 import java.util.ArrayDeque;
 
 /**
- * What a client has sent beyond what is handled yet. A connection is read on while its requests wait, as the
- * client's end stands behind all that it sent, and whoever does not read does not see it. Only so much is
- * held; beyond that the network holds the client back, and the connection is blind to its end.
+ * Buffers input of one client connection that has been read but not handled yet. The connection is read
+ * while its requests wait, because a close by the client is seen only after everything sent before it has
+ * been read. The buffer is limited: once it is full, reading pauses, TCP flow control stops the client, and
+ * a close by the client goes unnoticed until reading resumes.
  */
 final class ReadAheadBuffer {
 
     private static final int MAX_BUFFERED_BYTES = 1 << 18;
-    /** What a head takes about, and what surrounds a piece of a body. */
+    /** Approximate memory taken by the head of a request. */
     private static final int ESTIMATED_HEAD_BYTES = 1 << 9;
+    /** Approximate memory taken by the objects around each piece of a body. */
     private static final int ESTIMATED_CHUNK_OVERHEAD_BYTES = 1 << 6;
 
-    /** A part of a request, and when it came in. */
+    /**
+     * A part of a request.
+     *
+     * @param receivedAtUs when it was read, in microseconds of the proxy's clock
+     */
     record ReceivedPart(HttpObject part, long receivedAtUs) {
         private int estimatedBytes() {
             return part instanceof HttpContent content ? ESTIMATED_CHUNK_OVERHEAD_BYTES
@@ -26,14 +32,17 @@
     }
 
     private final BodyBudget budget;
+    /** In the order of arrival. */
     private final ArrayDeque<ReceivedPart> parts = new ArrayDeque<>();
     private int bufferedBytes;
     private int reservedBytes;
 
+    /** Creates an empty buffer that reserves its memory from a budget shared by all connections. */
     ReadAheadBuffer(BodyBudget budget) {
         this.budget = budget;
     }
 
+    /** Retains the part and appends it, also when the buffer is full. */
     void add(HttpObject part, long nowUs) {
         ReceivedPart received = new ReceivedPart(ReferenceCountUtil.retain(part), nowUs);
         parts.add(received);
@@ -43,7 +52,7 @@
         }
     }
 
-    /** The next part, with the duty to release it; null where none is held. */
+    /** Removes the next part, which the caller has to release; null if the buffer is empty. */
     ReceivedPart poll() {
         ReceivedPart next = parts.poll();
         if (next != null) {
@@ -57,12 +66,12 @@
         return parts.isEmpty();
     }
 
-    /** Whether no more may be read now: for this connection, or for all of them together. */
+    /** Whether reading must pause: this buffer, or the budget shared by all connections, is exhausted. */
     boolean isFull() {
         return bufferedBytes > MAX_BUFFERED_BYTES || bufferedBytes > reservedBytes;
     }
 
-    /** Lets go of all of it. */
+    /** Releases and removes all parts. */
     void releaseAll() {
         parts.forEach(received -> ReferenceCountUtil.release(received.part()));
         parts.clear();
--- a/src/main/java/passhatch/proxy/RequestDecoder.java
+++ b/src/main/java/passhatch/proxy/RequestDecoder.java
@@ -4,33 +4,38 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
-/** Netty's decoder of requests, which also tells whether a part of one is in. */
+/** Netty's HTTP request decoder, extended to tell whether it holds part of a request. */
 final class RequestDecoder extends HttpRequestDecoder {
 
+    /** Maximum size of a piece of a body that is passed on. */
     private static final int MAX_CHUNK_BYTES = 1 << 15;
 
-    /** Heads of which the first line is in, and heads that were passed on and have arrived. */
+    /** Number of request heads whose first line has been decoded. */
     private long startedHeads;
+    /** Number of request heads that the next handler has received. */
     private long deliveredHeads;
 
-    /** A decoder that hands bodies on in parts as large as they are read. */
+    /** Creates a decoder that passes bodies on in pieces as large as they are read, up to its maximum. */
     RequestDecoder() {
         super(new HttpDecoderConfig().setMaxChunkSize(MAX_CHUNK_BYTES));
     }
 
-    /** Notes that the first line of a request is in: from now on bytes that came in are held elsewhere. */
+    /**
+     * Counts a request whose first line has been decoded: from now on Netty keeps the head outside the
+     * decoder's buffer, so the number of buffered bytes no longer shows it.
+     */
     @Override
     protected HttpMessage createMessage(String[] initialLine) throws Exception {
         startedHeads++;
         return super.createMessage(initialLine);
     }
 
-    /** A head that this decoder gave has arrived. */
+    /** Tells the decoder that the next handler has received a request head. */
     void headDelivered() {
         deliveredHeads++;
     }
 
-    /** Whether bytes have come in of a request whose head has not arrived yet. */
+    /** Whether the decoder holds bytes of a request whose head the next handler has not received yet. */
     boolean hasUndeliveredBytes() {
         return actualReadableBytes() > 0 || startedHeads > deliveredHeads;
     }
--- a/src/main/java/passhatch/proxy/RequestParser.java
+++ b/src/main/java/passhatch/proxy/RequestParser.java
@@ -11,16 +11,18 @@
 import passhatch.Balancer.Effect;
 import passhatch.Balancer.RequestClass;
 
-/** Turns a caller's HTTP request into a {@link ProxyRequest}, or says why it is none. */
+/** Converts a client's HTTP request to a {@link ProxyRequest}, or rejects it with a status and a reason. */
 final class RequestParser {
 
+    /** A number with the unit "m" for milliseconds or "u" for microseconds. */
     private static final Pattern DEADLINE_PATTERN = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)([mu])");
     private static final Pattern REQUEST_ID_PATTERN = Pattern.compile("[\\x21-\\x7e]{1,128}");
     private static final Pattern VISIBLE_ASCII_PATTERN = Pattern.compile("[\\x21-\\x7e]+");
+    /** A number of microseconds. */
     private static final Pattern COST_HINT_PATTERN = Pattern.compile("\\d{1,12}(?:\\.\\d{1,9})?");
     private static final String MALFORMED_DEADLINE = "X-Deadline is malformed";
 
-    /** A request that cannot be taken, and the status that says so. */
+    /** Thrown for a request with invalid headers, method or path; carries the HTTP status to answer with. */
     static final class InvalidRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
@@ -39,13 +41,21 @@
     private final List<String> classNames;
     private final List<String> tenants;
 
+    /** Creates a parser for the request classes and tenants of the configuration. */
     RequestParser(ProxyConfig config) {
         this.classes = config.settings().classes();
         this.classNames = config.classes();
         this.tenants = config.tenants();
     }
 
-    /** Reads a request that has stood unread for some time already. */
+    /**
+     * Parses a request.
+     *
+     * @param unreadUs how long the request has been waiting unread, in microseconds; subtracted from its
+     *     deadline
+     * @throws InvalidRequestException if the path names no request class, or the method or a header is
+     *     invalid
+     */
     ProxyRequest parse(RequestReader.IncomingRequest incoming, long unreadUs) throws InvalidRequestException {
         HttpRequest head = incoming.head();
         int classIndex = findClassIndex(head);
@@ -55,7 +65,7 @@
             throw invalid("X-Request-Id is missing or malformed");
         }
         String idempotencyKey = headers.get("Idempotency-Key");
-        // What goes on unchanged must be writable as it is.
+        // Both are forwarded unchanged, so they may contain only characters that are valid in a request head.
         if (!VISIBLE_ASCII_PATTERN.matcher(head.uri()).matches()
                 || idempotencyKey != null && !VISIBLE_ASCII_PATTERN.matcher(idempotencyKey).matches()) {
             throw invalid("the path or Idempotency-Key is malformed");
@@ -69,7 +79,10 @@
                 incoming.body());
     }
 
-    /** The first part of the path; its effect must be the one that the method promises the caller. */
+    /**
+     * Finds the request class named by the first segment of the path. Its effect must match what the method
+     * promises the client: safe for GET, keyed for POST with an idempotency key, unsafe for other POSTs.
+     */
     private int findClassIndex(HttpRequest head) throws InvalidRequestException {
         String path = new QueryStringDecoder(head.uri()).rawPath();
         int classNameEnd = path.indexOf('/', 1);
@@ -88,7 +101,10 @@
         return classIndex;
     }
 
-    /** A request that names no tenant is nobody's: it must not use up the share of the first. */
+    /**
+     * Finds the index of a tenant. A request that names none gets an index behind the last tenant, so that it
+     * does not use up the quota of the first.
+     */
     private int findTenantIndex(String name) throws InvalidRequestException {
         if (name == null || tenants.isEmpty()) {
             return tenants.size();
@@ -112,8 +128,9 @@
     }
 
     /**
-     * A guess that cannot be read is no guess. Nor is one at more work than there is time: taken into the
-     * module's means it would make all later requests look small.
+     * Parses the client's estimate of the work; 0 if it is missing or malformed. An estimate above the
+     * deadline of the class is ignored as well: in the decision module's averages it would make all later
+     * requests look small.
      */
     private static long parseCostHintUs(String text, long classDeadlineUs) {
         if (text == null || !COST_HINT_PATTERN.matcher(text.strip()).matches()) {
--- a/src/main/java/passhatch/proxy/RequestReader.java
+++ b/src/main/java/passhatch/proxy/RequestReader.java
@@ -11,26 +11,28 @@
 import java.util.List;
 
 /**
- * Puts a caller's requests together from what the decoder makes of the bytes. Once one cannot be taken it is
- * not known where the next begins, so nothing more may be read then.
+ * Assembles the requests of one client connection from decoded HTTP parts. Once a request is unreadable, the
+ * start of the next one is unknown, so no further parts may be read.
  */
 final class RequestReader {
 
-    /** Larger bodies are turned down. */
+    /** Maximum size of a body; a request with a larger one is rejected with status 413. */
     static final long MAX_BODY_BYTES = 32L << 20;
 
     private final BodyBudget budget;
+    /** The request that is being received; null if there is none. */
     private IncomingRequest current;
     private long receivedBodyBytes;
 
+    /** Creates a reader whose request bodies reserve their memory from the given budget. */
     RequestReader(BodyBudget budget) {
         this.budget = budget;
     }
 
-    /** A request of which the head is in. */
+    /** A request whose head has been received; its body may be incomplete. */
     record IncomingRequest(HttpRequest head, RequestBody body) { }
 
-    /** A request that cannot be taken, and the status that says so. */
+    /** Thrown for a request that cannot be read; carries the HTTP status to answer with. */
     static final class UnreadableRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
@@ -45,10 +47,15 @@
         }
     }
 
-    /** Takes the next part and gives the request that it belongs to. */
+    /**
+     * Reads the next part and returns the request that it belongs to.
+     *
+     * @throws UnreadableRequestException if the request is malformed, unsupported or too large, or if the
+     *     memory for request bodies is exhausted
+     */
     IncomingRequest read(HttpObject part) throws UnreadableRequestException {
         if (part.decoderResult().isFailure()) {
-            throw new UnreadableRequestException(HttpResponseStatus.BAD_REQUEST, "the request is not HTTP");
+            throw new UnreadableRequestException(HttpResponseStatus.BAD_REQUEST, "malformed HTTP request");
         }
         if (part instanceof HttpRequest request) {
             checkHead(request);
@@ -64,7 +71,7 @@
             }
             if (!incoming.body().add(content.content())) {
                 throw new UnreadableRequestException(HttpResponseStatus.SERVICE_UNAVAILABLE,
-                        "too many bytes are held");
+                        "the memory for request bodies is exhausted");
             }
         }
         if (part instanceof LastHttpContent) {
@@ -74,22 +81,22 @@
         return incoming;
     }
 
-    /** The head of a request has come whose body waits for leave to be sent. */
+    /** Whether the part is a request head whose client waits for status 100 before it sends the body. */
     boolean isAwaitingContinue(HttpObject part) {
         return current != null && part == current.head() && HttpUtil.is100ContinueExpected(current.head());
     }
 
-    /** Whether part of a request is in. */
+    /** Whether a request has been received in part. */
     boolean hasIncompleteRequest() {
         return current != null;
     }
 
-    /** Whether what is in must go on before more may be read. */
+    /** Whether buffered bytes of the body must be forwarded before more may be read. */
     boolean isBodyFull() {
         return current != null && current.body().isFull();
     }
 
-    /** Gives back what an unfinished request holds. */
+    /** Releases the buffers of an incomplete request. */
     void discardIncomplete() {
         if (current != null) {
             current.body().drop();
@@ -97,8 +104,10 @@
     }
 
     /**
-     * Guards against a request that hides another. The decoder turns down a length beside a transfer coding,
-     * lengths that differ and a coding that does not end in chunks; others may be undone by no one behind.
+     * Rejects heads whose framing is ambiguous, as they could be used to smuggle another request past the
+     * proxy. Netty's decoder already rejects a Content-Length beside a Transfer-Encoding, differing lengths
+     * and codings that do not end in "chunked". Other codings are rejected here, as a backend might not
+     * decode them.
      */
     private static void checkHead(HttpRequest request) throws UnreadableRequestException {
         List<String> transferCodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
@@ -106,19 +115,19 @@
                 || transferCodings.size() == 1
                 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(transferCodings.get(0))) {
             throw new UnreadableRequestException(HttpResponseStatus.BAD_REQUEST,
-                    "the version or transfer coding is not known");
+                    "unsupported HTTP version or transfer coding");
         }
         if (HttpUtil.getContentLength(request, 0L) > MAX_BODY_BYTES) {
             throw bodyTooLarge();
         }
         if (request.headers().contains(HttpHeaderNames.EXPECT) && !HttpUtil.is100ContinueExpected(request)) {
             throw new UnreadableRequestException(HttpResponseStatus.EXPECTATION_FAILED,
-                    "the expectation is not known");
+                    "unsupported Expect header");
         }
     }
 
     private static UnreadableRequestException bodyTooLarge() {
         return new UnreadableRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
-                "the body is too large");
+                "the request body is larger than 32 MiB");
     }
 }
--- a/src/test/java/passhatch/proxy/BadClientsTest.java
+++ b/src/test/java/passhatch/proxy/BadClientsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import passhatch.proxy.HttpTestConnection.Message;
 
-/** Callers that send what they should not, or nothing. */
+/** Tests clients that send malformed, oversized or slow requests, too many requests, or nothing. */
 @Timeout(60)
 final class BadClientsTest {
 
@@ -50,7 +50,7 @@
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
     }
 
-    /** Whether the connection ends; what comes before its end is passed over. */
+    /** Waits until the proxy closes the connection, ignoring responses before that. */
     private static void awaitEnd(HttpTestConnection client) throws IOException {
         Message message;
         do {
@@ -58,7 +58,7 @@
         } while (message != null);
     }
 
-    /** Where a request ends is in doubt: a backend might find another in its body. */
+    /** The end of such a request is ambiguous: a backend might find another request in its body. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 0\r\nTransfer-Encoding: chunked",
         "Content-Length: 0\r\nContent-Length: 5", "Content-Length: -1", "Content-Length: +0",
@@ -77,7 +77,7 @@
         assertTrue(backend.received.isEmpty());
     }
 
-    /** HTTP/1.0 has no codings: whoever stands behind may take the chunks for another request. */
+    /** HTTP/1.0 has no transfer codings: a backend might take the chunks for another request. */
     @Test
     void chunkedBodyOverHttp10IsRejected() throws Exception {
         start();
@@ -113,7 +113,7 @@
         assertEquals("ab", backend.next().text());
     }
 
-    /** What came before a request that cannot be read is answered first, and by its own answer. */
+    /** A request before a malformed one is answered first, with its own response. */
     @Test
     void requestsBeforeMalformedOneAreAnsweredFirst() throws Exception {
         start();
@@ -132,7 +132,7 @@
         awaitEnd(rig.client());
     }
 
-    /** However often a few bytes come, the time for a request runs from its start. */
+    /** The time for a request counts from its start, however often a few bytes arrive. */
     @ParameterizedTest
     @ValueSource(strings = {"GET /board HTTP/1.1\r\n",
         "POST /move HTTP/1.1\r\nHost: p\r\nX-Request-Id: t\r\nContent-Length: 60000\r\n\r\n", "\r\n"})
@@ -153,13 +153,13 @@
                         Thread.sleep(50);
                     }
                 } catch (IOException | InterruptedException connectionClosed) {
-                    // The proxy has ended the connection.
+                    // The proxy has closed the connection.
                 }
             });
             try {
                 awaitEnd(client);
             } catch (java.net.SocketException reset) {
-                // So it can end too, as more came than was read.
+                // The connection can also end with a reset, as the client sent more than was read.
             }
             connectionEnded.countDown();
         }
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Connections that say nothing give way; one with a request open, or in part, never does. */
+    /** Connections without a request are evicted; one with an open or incomplete request never is. */
     @Test
     void silentConnectionsAreEvictedForNewClients() throws Exception {
         rig.sockets(64);
@@ -197,7 +197,7 @@
         assertEquals("held", held.read().text());
     }
 
-    /** Kept, those connections would use up the places that the next clients need. */
+    /** If kept alive, the connections would use up the maximum, and new clients could not connect. */
     @Test
     void keepAliveEndsWhenManyClientsAreConnected() throws Exception {
         rig.sockets(80);
@@ -210,9 +210,10 @@
             assertEquals("r" + i, response.text());
             boolean closes = "close".equals(response.header("Connection"));
             closedConnections += closes ? 1 : 0;
-            assertTrue(i >= 10 || !closes, "few clients are kept");
+            assertTrue(i >= 10 || !closes, "with few connections open, they are kept alive");
         }
-        assertTrue(closedConnections > 40, closedConnections + " of 60 were let go");
+        assertTrue(closedConnections > 40,
+                closedConnections + " of 60 connections were closed after the response");
     }
 
     @Test
--- a/src/test/java/passhatch/proxy/ClientConnectionTest.java
+++ b/src/test/java/passhatch/proxy/ClientConnectionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What a connection says of itself, on a network that takes bytes only when told to. */
+/** Tests the state that a client connection reports, on a channel whose writes the test can block. */
 final class ClientConnectionTest {
 
     private final EventLoop loop = new DefaultEventLoop();
@@ -21,7 +21,7 @@
         loop.shutdownGracefully();
     }
 
-    /** A network that may be full. */
+    /** A channel that accepts no bytes while it is blocked. */
     private static final class BlockableChannel extends EmbeddedChannel {
         private boolean blocked;
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Drains, evictions and the end of the process close what is idle. */
+    /** Draining, eviction and shutdown close idle connections, which would cut off an unsent response. */
     @Test
     void isNotIdleWhileResponseBytesAreUnsent() {
         BlockableChannel channel = new BlockableChannel();
--- a/src/test/java/passhatch/proxy/ClosingConnectionsTest.java
+++ b/src/test/java/passhatch/proxy/ClosingConnectionsTest.java
@@ -25,8 +25,9 @@
 import passhatch.Balancer.Actions;
 
 /**
- * What stands on a client's connection in the turn in which the proxy closes it. The loop stands still while
- * the client writes, and does what closes the connection before it reads.
+ * Tests requests that arrive on a client's connection just when the proxy closes it. The test blocks the
+ * event loop while the client writes, so that the loop runs the task that closes the connection before it
+ * reads.
  */
 @Timeout(60)
 final class ClosingConnectionsTest {
@@ -50,7 +51,7 @@
         rig.close();
     }
 
-    /** A module that holds what is named so and refuses all else. */
+    /** Starts a proxy whose module holds requests with ids that begin with "held" and refuses all others. */
     private void start() throws Exception {
         rig.module((settings, seed, module) -> {
             actions = module;
@@ -78,7 +79,10 @@
         assertEquals(id, receivedIds.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
-    /** Of six at once four are taken, and end in one step; the two behind have been read all the same. */
+    /**
+     * Of six pipelined requests four are accepted and answered in one task of the event loop; the other two
+     * have been read already. So many connections are open that the last response closes the connection.
+     */
     @Test
     void requestsReadAheadAreAnsweredBeforeConnectionCloses() throws Exception {
         rig.sockets(48);
@@ -103,7 +107,7 @@
         assertEquals(2, otherClients.size());
     }
 
-    /** More stands unread when the answer that ends the connection is written: it must not be reset. */
+    /** Input is unread when the response that ends the connection is written: that must not cause a reset. */
     @Test
     void unreadRequestsDoNotResetTheFinalResponse() throws Exception {
         start();
@@ -116,15 +120,19 @@
             return null;
         }).get();
         assertEquals(503, client.read().status());
-        assertNull(client.read(), "the end, and no reset");
+        assertNull(client.read(), "the connection ends, without a reset");
         assertEquals(200, rig.call(READY_REQUEST).status());
-        // A reset would have come by now, and this write would fail.
+        // A reset would have arrived by now, and this write would fail.
         client.write(Rig.get("later", ""));
         assertEquals(200, rig.call(READY_REQUEST).status());
-        assertTrue(receivedIds.isEmpty(), "nothing read after the end is taken: " + receivedIds);
+        assertTrue(receivedIds.isEmpty(),
+                "requests read after the last response were passed to the module: " + receivedIds);
     }
 
-    /** Both orders: the request has come before the turn of the sweep, or in it, after the loop has read. */
+    /**
+     * The request arrives either before the event loop's iteration in which idle connections are closed, or
+     * within it, after the loop has read its sockets.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void requestArrivingDuringIdleCloseIsServed(boolean arrivesBeforeTimers) throws Exception {
@@ -145,7 +153,8 @@
             } else {
                 actions.wakeAt(0);
             }
-            // Until the sweep is due too: timers run in the order of their times, after the sockets are read.
+            // Blocks the loop until the check for idle connections is due as well: timers run in the order of
+            // their times, after the sockets have been read.
             return new CountDownLatch(1).await(150, TimeUnit.MILLISECONDS);
         }).get();
         assertEquals(503, client.read().status());
@@ -153,8 +162,9 @@
     }
 
     /**
-     * All that ends a process is due in the turn in which the last clients connect and ask, as can be where
-     * deadlines are short: those in the accept queue and the one on a kept connection get their answers.
+     * All steps of the shutdown become due in the iteration of the event loop in which the last clients
+     * connect and send requests, as can happen with short deadlines. The clients in the accept queue and the
+     * one on a kept-alive connection must get their responses.
      */
     @ParameterizedTest
     @CsvSource({"true, 3", "true, 0", "false, 3"})
@@ -186,7 +196,10 @@
         assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
     }
 
-    /** Killed before it is read, a new connection counts against the proxy; its bytes come in a moment. */
+    /**
+     * A new connection that is closed before its first request is read counts as an error of the proxy; the
+     * request may arrive a moment after the connection.
+     */
     @Test
     void newConnectionMaySendItsRequestDuringShutdown() throws Exception {
         rig.standStill().replace("\"deadlineUs\":10000000", "\"deadlineUs\":300000");
--- a/src/test/java/passhatch/proxy/HttpTestConnection.java
+++ b/src/test/java/passhatch/proxy/HttpTestConnection.java
@@ -13,21 +13,29 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One end of an HTTP/1.1 connection, byte by byte as a test wants it. */
+/** One end of an HTTP/1.1 connection, on which a test reads messages and writes arbitrary bytes. */
 final class HttpTestConnection implements Closeable {
 
+    /** How long tests wait for something that must happen. */
     static final int TIMEOUT_MS = 20_000;
 
-    /** A request or an answer as it came. */
+    /**
+     * A request or a response as it was received.
+     *
+     * @param headers by name in lower case
+     */
     record Message(String startLine, Map<String, String> headers, byte[] body) {
+        /** The status code of a response. */
         int status() {
             return Integer.parseInt(startLine.split(" ")[1]);
         }
 
+        /** The value of a header whose name may be in any case; null if it is missing. */
         String header(String name) {
             return headers.get(name.toLowerCase(Locale.ROOT));
         }
 
+        /** The body as text. */
         String text() {
             return new String(body, StandardCharsets.UTF_8);
         }
@@ -36,6 +44,7 @@
     final Socket socket;
     private final InputStream input;
 
+    /** Wraps a connected socket. */
     HttpTestConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(TIMEOUT_MS);
@@ -43,24 +52,32 @@
         this.input = new BufferedInputStream(socket.getInputStream());
     }
 
+    /** Opens a connection to the address. */
     static HttpTestConnection connect(InetSocketAddress address) throws IOException {
         return new HttpTestConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
+    /** Sends the text in UTF-8. */
     void write(String text) throws IOException {
         write(text.getBytes(StandardCharsets.UTF_8));
     }
 
+    /** Sends the bytes. */
     void write(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
         socket.getOutputStream().flush();
     }
 
+    /** Sends a response with a body of ASCII characters. */
     void respond(String status, String body) throws IOException {
         write("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Reads one message with its body; null at the end of the connection. */
+    /**
+     * Reads one message with a body of the length given by its headers; null at the end of the connection.
+     *
+     * @throws EOFException if the connection ends within the body
+     */
     Message read() throws IOException {
         String startLine = readLine();
         if (startLine == null) {
@@ -74,16 +91,17 @@
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = input.readNBytes(length);
         if (body.length < length) {
-            throw new EOFException("the body is cut off");
+            throw new EOFException("the connection ended within the body of a message");
         }
         return new Message(startLine, headers, body);
     }
 
-    /** What comes next, byte by byte. */
+    /** The received bytes that have not been read yet. */
     InputStream input() {
         return input;
     }
 
+    /** Reads one line without its line break; null at the end of the connection. */
     String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int nextByte = input.read(); nextByte != '\n'; nextByte = input.read()) {
@@ -95,7 +113,7 @@
         return line.toString(StandardCharsets.UTF_8).strip();
     }
 
-    /** Breaks the connection off with a reset. */
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/test/java/passhatch/proxy/LeavingClientsTest.java
+++ b/src/test/java/passhatch/proxy/LeavingClientsTest.java
@@ -23,14 +23,15 @@
 import passhatch.Balancer.Outcome;
 
 /**
- * A request whose client has left while it waited reaches no backend. In each case the module is held back
- * until it has heard that the client is gone, and then sends all the same: what must not go out has to be
- * stopped at the socket. A request of another client, sent after that, shows that nothing came before it.
+ * Tests that a request whose client disconnected while it was waiting reaches no backend. In each case the
+ * module holds the request until it is told that the client is gone and sends it nevertheless, so that the
+ * proxy has to prevent the send. A request of another client is sent after that; it must be the first to
+ * reach the backend.
  */
 @Timeout(60)
 final class LeavingClientsTest {
 
-    /** How a client leaves. */
+    /** How a client disconnects. */
     enum Disconnect {
         CLOSE {
             @Override
@@ -83,7 +84,10 @@
         rig.close();
     }
 
-    /** A module that holds each request until its client is gone; others, named so, are sent at once. */
+    /**
+     * Starts a proxy whose module holds each request until its client is gone. Requests with ids that begin
+     * with "slow", "last", "connects" or "breaks" are sent at once instead.
+     */
     private void startHoldingRequests() throws Exception {
         rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
             if (args[args.length - 1] instanceof Balancer.Request request) {
@@ -110,7 +114,7 @@
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        assertTrue(next != null, "nothing came");
+        assertTrue(next != null, "nothing was received in time");
         return next;
     }
 
@@ -140,7 +144,10 @@
         assertNothingWasSent();
     }
 
-    /** The loop stands still until the connection has come up and the client has left: one turn sees both. */
+    /**
+     * The event loop is blocked until the connection to the backend is established and the client has
+     * disconnected, so that one iteration of the loop sees both.
+     */
     @ParameterizedTest
     @EnumSource
     void whileBackendConnectionIsEstablished(Disconnect disconnect) throws Exception {
@@ -169,7 +176,7 @@
         assertNothingWasSent();
     }
 
-    /** Nothing more is expected on such a connection; yet its end has to be seen. */
+    /** No further request is read from such a connection, but its close must still be noticed. */
     @ParameterizedTest
     @EnumSource
     void onConnectionWithoutKeepAlive(Disconnect disconnect) throws Exception {
@@ -182,7 +189,7 @@
         assertNothingWasSent();
     }
 
-    /** Four are open and those behind them are not taken; the end stands behind them all. */
+    /** Four requests are open and those behind them are not accepted; the close follows all of them. */
     @ParameterizedTest
     @EnumSource
     void withUnacceptedPipelinedRequests(Disconnect disconnect) throws Exception {
@@ -201,10 +208,10 @@
             assertEquals(id, next(clientGoneIds));
         }
         assertNothingWasSent();
-        assertEquals("last", next(receivedIds), "those behind were never taken");
+        assertEquals("last", next(receivedIds), "the requests behind the first four were never accepted");
     }
 
-    /** One behind a slow one, whose client has gone by the time that it could be taken. */
+    /** A request waits behind slow ones; its client has disconnected by the time it could be accepted. */
     @ParameterizedTest
     @EnumSource
     void behindPipelinedRequestsInFlight(Disconnect disconnect) throws Exception {
@@ -226,7 +233,7 @@
         assertNothingWasSent();
     }
 
-    /** What follows it cannot be taken, so the connection is on its way to its end. */
+    /** A malformed request follows, so the connection is about to be closed anyway. */
     @ParameterizedTest
     @EnumSource
     void beforeMalformedRequestOnSameConnection(Disconnect disconnect) throws Exception {
@@ -240,7 +247,7 @@
         assertNothingWasSent();
     }
 
-    /** More of a body has come than is held, and it is not read on until a backend takes it. */
+    /** The body is larger than the buffer, so reading pauses until a backend receives it. */
     @ParameterizedTest
     @EnumSource
     void whileUploading(Disconnect disconnect) throws Exception {
@@ -255,7 +262,7 @@
         assertNothingWasSent();
     }
 
-    /** A burst: not one of many goes out. */
+    /** Many clients disconnect at once: none of their requests is sent. */
     @ParameterizedTest
     @EnumSource
     void manyClientsAtOnce(Disconnect disconnect) throws Exception {
@@ -278,7 +285,9 @@
         assertNothingWasSent();
     }
 
-    /** The loop is held up; by the time that it reads the request, its client's end stands behind it. */
+    /**
+     * The event loop is blocked; by the time it reads the request, the client's close has arrived behind it.
+     */
     @ParameterizedTest
     @EnumSource
     void beforeRequestIsRead(Disconnect disconnect) throws Exception {
@@ -288,7 +297,8 @@
             }
         })).start(Rig.entry("s", backend.address(), "SERVING"));
         slowResponsesReleased.countDown();
-        assertEquals(200, rig.call(Rig.get("slow", "")).status(), "a connection to the backend is kept");
+        assertEquals(200, rig.call(Rig.get("slow", "")).status(),
+                "the backend serves a request, and its connection is kept alive");
         HttpTestConnection client = rig.client();
         client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
         assertEquals(200, client.read().status());
@@ -300,7 +310,10 @@
         assertNothingWasSent();
     }
 
-    /** More came at once than is read ahead; once all of it is read its client is there as before. */
+    /**
+     * A client sends more at once than the read-ahead buffer holds, so its close could go unnoticed. Once
+     * all its input has been read, the client counts as present again and its requests are sent.
+     */
     @Test
     void clientIsPresentAgainOnceAllItsInputIsRead() throws Exception {
         int requestCount = 600;
@@ -346,7 +359,7 @@
         for (int i = 0; i < 4; i++) {
             next(receivedIds);
         }
-        // Another's answer comes some turns of the loop later.
+        // The response to another client takes some iterations of the event loop.
         Rig.awaitReady(rig.proxy().address());
         rig.pass(300);
         rig.proxy().inLoop(() -> {
--- a/src/test/java/passhatch/proxy/MinimumReceiveRateTest.java
+++ b/src/test/java/passhatch/proxy/MinimumReceiveRateTest.java
@@ -5,19 +5,19 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which requests come in too slowly; time is handed in. */
+/** Tests which requests are received too slowly, with times set by the test. */
 final class MinimumReceiveRateTest {
 
     private static final long SECOND_US = 1_000_000;
 
     private final MinimumReceiveRate receiveRate = new MinimumReceiveRate();
 
-    /** 64 kB a second, in pieces, after 2 s for the head. */
+    /** The client sends 64 kB per second in pieces, after taking 2 s for the head. */
     @Test
     void clientAboveMinimumRateIsNeverTooSlow() {
         receiveRate.requestStarted();
         for (long nowUs = 2 * SECOND_US; nowUs < 60 * SECOND_US; nowUs += SECOND_US / 4) {
-            assertFalse(receiveRate.isTooSlow(nowUs, 0), "after " + nowUs);
+            assertFalse(receiveRate.isTooSlow(nowUs, 0), "too slow at time in us: " + nowUs);
             receiveRate.bytesReceived(nowUs, 16_000);
         }
     }
@@ -27,7 +27,7 @@
         receiveRate.requestStarted();
         receiveRate.bytesReceived(SECOND_US / 10, 60_000);
         assertFalse(receiveRate.isTooSlow(2 * SECOND_US, 0));
-        assertTrue(receiveRate.isTooSlow(2_700_000, 0), "an answer is owed 3 s after connecting");
+        assertTrue(receiveRate.isTooSlow(2_700_000, 0), "a response is due within 3 s of connecting");
         receiveRate.requestStarted();
         receiveRate.bytesReceived(10 * SECOND_US, 60_000);
         assertFalse(receiveRate.isTooSlow(10 * SECOND_US + SECOND_US / 2, 0));
@@ -43,7 +43,7 @@
         assertTrue(receiveRate.isTooSlow(3 * SECOND_US, 0));
     }
 
-    /** It was this proxy that did not read. */
+    /** The proxy itself paused reading, so the delay is not the client's fault. */
     @Test
     void timeWhileReadingIsPausedDoesNotCount() {
         receiveRate.requestStarted();
