--- a/src/main/java/passhatch/proxy/BackendPool.java
+++ b/src/main/java/passhatch/proxy/BackendPool.java
@@ -337,7 +337,7 @@
         }
 
         private void timeUp() {
-            if (sink != null && connection.passed > AnswerReader.HELD) {
+            if (sink != null && connection.passed > ResponseReader.MAX_BUFFERED_BYTES) {
                 // It is long, and what has begun to be passed on goes on for as long as it moves.
                 return;
             }
@@ -384,7 +384,7 @@
         }
 
         @Override
-        public void part(ByteBuf bytes) {
+        public void write(ByteBuf bytes) {
             call.connection.movedUs = clock.nowUs();
             channel.writeAndFlush(new DefaultHttpContent(bytes));
         }
@@ -404,8 +404,8 @@
     /** A connection, and the call that it carries now. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Target target;
-        private final AnswerDecoder decoder = new AnswerDecoder();
-        private AnswerReader reader = new AnswerReader();
+        private final ResponseDecoder decoder = new ResponseDecoder();
+        private ResponseReader reader = new ResponseReader();
         /** The result of the call, until the loop has read all that came with the answer. */
         private Result result;
         /** More has come than the answer. */
@@ -530,12 +530,12 @@
             if (call.sink != null) {
                 passOn(part);
             } else {
-                boolean first = !reader.mayGetLong();
+                boolean first = !reader.mayExceedBuffer();
                 result = reader.read(part);
-                if (result == null && reader.isLong()) {
+                if (result == null && reader.exceedsBuffer()) {
                     stream();
-                } else if (result == null && first && reader.mayGetLong()) {
-                    AnswerReader same = reader;
+                } else if (result == null && first && reader.mayExceedBuffer()) {
+                    ResponseReader same = reader;
                     loop.schedule(() -> {
                         if (reader == same && result == null && call != null && call.sink == null) {
                             stream();
@@ -550,17 +550,17 @@
 
         /** From now on the answer is its client's, as it comes. */
         private void stream() {
-            AnswerSink sink = call.listener.streams(reader.length(), this::readOn);
+            AnswerSink sink = call.listener.streams(reader.contentLength(), this::readOn);
             if (sink == null) {
                 call.giveUp(Outcome.CANCELLED);
                 return;
             }
             call.sink = sink;
-            byte[] held = reader.takeHeld();
+            byte[] held = reader.takeBufferedBody();
             passed = held.length;
             passedSinceUs = clock.nowUs();
             // One that may turn out short is owed by its deadline, as all short ones are.
-            if (call.timeout != null && reader.length() > AnswerReader.HELD) {
+            if (call.timeout != null && reader.contentLength() > ResponseReader.MAX_BUFFERED_BYTES) {
                 call.timeout.cancel(false);
             }
             pass(Unpooled.wrappedBuffer(held));
@@ -568,7 +568,7 @@
 
         /** Whether its long answer has turned out short so far, or its backend gives no more of it. */
         private boolean hangs() {
-            return Math.max(passed, reader.length()) <= AnswerReader.HELD
+            return Math.max(passed, reader.contentLength()) <= ResponseReader.MAX_BUFFERED_BYTES
                     || channel.config().isAutoRead() && clock.nowUs() - movedUs > LEAST_SEEN_US;
         }
 
@@ -585,7 +585,7 @@
             }
             if (part instanceof HttpContent content && content.content().isReadable()) {
                 passed += content.content().readableBytes();
-                if (passed > AnswerReader.MOST_BODY) {
+                if (passed > ResponseReader.MAX_BODY_BYTES) {
                     log.line(Kind.BACKEND, "an answer from " + target.id() + " does not come to an end");
                     abort();
                     return;
@@ -628,8 +628,9 @@
                 // No backend starts on a request before it has all: nobody knows whose answer this is.
                 given = Result.without(Outcome.ERROR);
             }
-            boolean clean = !surplus && !decoder.holdsMore() && answered.written && reader.keepsAlive();
-            reader = new AnswerReader();
+            boolean clean = !surplus && !decoder.hasUndecodedBytes() && answered.written
+                    && reader.isKeepAlive();
+            reader = new ResponseReader();
             if (clean && channel.isActive()) {
                 channel.config().setAutoRead(true);
                 keep();
--- a/src/main/java/passhatch/proxy/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/ClientConnection.java
@@ -54,7 +54,7 @@
 
     /** A request of the connection until its response is written. */
     private static final class PipelinedRequest implements ProxyLoop.Responder, RequestBody.Source,
-            AnswerStream.Owner {
+            ResponseStream.Owner {
         private final ClientConnection connection;
         private final HttpRequest head;
         private final RequestBody body;
@@ -62,9 +62,9 @@
         /** The request's id; null if the proxy does not process the request, as for {@code /ready}. */
         private String activeId;
         /** The complete response; null until there is one, or if it is streamed. */
-        private Answer response;
+        private ProxyResponse response;
         /** The response, if it is forwarded while it is received from the backend; null otherwise. */
-        private AnswerStream responseStream;
+        private ResponseStream responseStream;
 
         PipelinedRequest(ClientConnection connection, HttpRequest head, RequestBody body, boolean keepAlive) {
             this.connection = connection;
@@ -74,32 +74,32 @@
         }
 
         @Override
-        public void answer(Answer finalResponse) {
+        public void respond(ProxyResponse finalResponse) {
             response = finalResponse;
             connection.writeResponses();
         }
 
         @Override
-        public BackendPool.AnswerSink stream(long length, Runnable readOn) {
-            responseStream = new AnswerStream(connection.channel, head.protocolVersion(), length, readOn,
+        public BackendPool.AnswerSink startStream(long length, Runnable readOn) {
+            responseStream = new ResponseStream(connection.channel, head.protocolVersion(), length, readOn,
                     this);
             connection.writeResponses();
             return responseStream;
         }
 
         @Override
-        public void ended() {
+        public void streamCompleted() {
             connection.writeResponses();
         }
 
         @Override
-        public void brokenBeforeItsTurn() {
+        public void streamFailedBeforeStart() {
             responseStream = null;
-            answer(Answer.failed());
+            respond(ProxyResponse.failed());
         }
 
         @Override
-        public void broken() {
+        public void streamFailed() {
             connection.inputDiscarded = true;
             connection.channel.close();
         }
@@ -109,19 +109,19 @@
          * of it has been read.
          */
         @Override
-        public boolean isPresent() {
+        public boolean isClientPresent() {
             return this == connection.incompleteRequest || !connection.mayHaveMissedClose();
         }
 
         @Override
-        public void readOn() {
+        public void resumeReading() {
             connection.scheduleHandling();
         }
 
         @Override
-        public void spent() {
+        public void bodyDiscarded() {
             if (activeId != null) {
-                connection.server.proxy().spent(activeId);
+                connection.server.proxy().bodyDiscarded(activeId);
             }
         }
 
@@ -451,7 +451,7 @@
         if (part instanceof HttpContent content) {
             receiveRate.bytesReceived(server.nowUs(), content.content().readableBytes());
         }
-        if (incoming.body().isWhole()) {
+        if (incoming.body().isComplete()) {
             incompleteSinceUs = 0;
             if (incompleteRequest == null) {
                 acceptRequest(incoming, server.nowUs() - receivedAtUs);
@@ -461,9 +461,9 @@
                 if (!completed.keepAlive) {
                     discardFurtherInput();
                 }
-                server.proxy().whole(completed.activeId);
+                server.proxy().requestComplete(completed.activeId);
             }
-        } else if (incompleteRequest == null && incoming.body().isLong()) {
+        } else if (incompleteRequest == null && incoming.body().exceedsBuffer()) {
             acceptRequest(incoming, 0);
         }
     }
@@ -474,11 +474,11 @@
      * @param waitedUs how long its last part has been buffered, in microseconds
      */
     private void acceptRequest(RequestReader.IncomingRequest incoming, long waitedUs) {
-        boolean complete = incoming.body().isWhole();
+        boolean complete = incoming.body().isComplete();
         PipelinedRequest request = new PipelinedRequest(this, incoming.head(), incoming.body(),
                 HttpUtil.isKeepAlive(incoming.head()));
         requests.add(request);
-        incoming.body().source(request);
+        incoming.body().setSource(request);
         incompleteRequest = complete ? null : request;
         if (complete && !request.keepAlive) {
             discardFurtherInput();
@@ -488,7 +488,7 @@
         } catch (RequestParser.InvalidRequestException invalid) {
             server.logClientEvent("request refused with " + invalid.status() + ": " + invalid.getMessage());
             if (complete) {
-                request.answer(Answer.of(invalid.status()));
+                request.respond(ProxyResponse.withStatus(invalid.status()));
             } else {
                 rejectRequest(invalid.status());
             }
@@ -499,13 +499,13 @@
     private void dispatchRequest(PipelinedRequest request, RequestReader.IncomingRequest incoming,
             long waitedUs) throws RequestParser.InvalidRequestException {
         if (incoming.head().method().equals(HttpMethod.GET) && incoming.head().uri().equals("/ready")) {
-            request.answer(Answer.of(server.isReady() ? HttpResponseStatus.OK
+            request.respond(ProxyResponse.withStatus(server.isReady() ? HttpResponseStatus.OK
                     : HttpResponseStatus.SERVICE_UNAVAILABLE));
             return;
         }
         ProxyRequest proxyRequest = server.parse(incoming, waitedUs);
         request.activeId = proxyRequest.id();
-        if (!server.proxy().take(proxyRequest, request)) {
+        if (!server.proxy().accept(proxyRequest, request)) {
             // The id belongs to another request, which must not be affected by events of this connection.
             request.activeId = null;
             throw new RequestParser.InvalidRequestException(HttpResponseStatus.BAD_REQUEST,
@@ -527,7 +527,7 @@
         scheduleHandling();
         PipelinedRequest first = requests.peek();
         if (first != null && first.responseStream != null) {
-            first.responseStream.writable();
+            first.responseStream.resumeIfWritable();
         }
     }
 
@@ -549,7 +549,7 @@
         if (request.responseStream != null) {
             request.responseStream.broken();
         } else if (request.response == null) {
-            request.answer(Answer.of(status));
+            request.respond(ProxyResponse.withStatus(status));
         }
     }
 
@@ -567,13 +567,13 @@
                 writeResponse(request.response, keepsAlive(request));
                 request.releaseBuffers();
             } else if (request.responseStream != null) {
-                request.responseStream.begin(keepsAlive(request));
-                nextMayBeWritten = request.responseStream.isWhole();
+                request.responseStream.start(keepsAlive(request));
+                nextMayBeWritten = request.responseStream.isComplete();
                 if (nextMayBeWritten) {
                     requests.poll();
                     lastResponseAtUs = server.nowUs();
-                    ChannelFuture written = request.responseStream.finish();
-                    if (!request.responseStream.keepsAlive()) {
+                    ChannelFuture written = request.responseStream.writeLastContent();
+                    if (!request.responseStream.isKeepAlive()) {
                         closeAfter(written);
                     }
                     request.releaseBuffers();
@@ -600,7 +600,7 @@
     }
 
     /** Writes a complete response, and closes the connection after it if it is not kept alive. */
-    private void writeResponse(Answer response, boolean keepAlive) {
+    private void writeResponse(ProxyResponse response, boolean keepAlive) {
         DefaultFullHttpResponse httpResponse = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                 response.status(), Unpooled.wrappedBuffer(response.body()));
         httpResponse.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
@@ -675,11 +675,11 @@
     /** Abandons all open requests, answers with 502 if no response has begun, and closes the connection. */
     private void failConnection() {
         boolean canSendResponse = requests.isEmpty() ? !readAhead.isEmpty()
-                : requests.peek().responseStream == null || !requests.peek().responseStream.isBegun();
+                : requests.peek().responseStream == null || !requests.peek().responseStream.isStarted();
         inputDiscarded = true;
         abandonRequests();
         if (canSendResponse) {
-            writeResponse(Answer.failed(), false);
+            writeResponse(ProxyResponse.failed(), false);
         } else {
             close();
         }
--- a/src/main/java/passhatch/proxy/ClientServer.java
+++ b/src/main/java/passhatch/proxy/ClientServer.java
@@ -295,7 +295,7 @@
      */
     ProxyRequest parse(RequestReader.IncomingRequest incoming, long waitedUs)
             throws RequestParser.InvalidRequestException {
-        return parser.parse(incoming, incoming.body().isWhole() ? Math.max(waitedUs, maxUnreadUs()) : 0);
+        return parser.parse(incoming, incoming.body().isComplete() ? Math.max(waitedUs, maxUnreadUs()) : 0);
     }
 
     /** Whether {@code /ready} is answered with 200. */
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -49,9 +49,9 @@
      * How long before its client's time is up a request ends here: the answer has to travel, and the loop may
      * be late.
      */
-    private static final long ANSWER_MARGIN_US = 20_000;
+    private static final long RESPONSE_MARGIN_US = 20_000;
     /** How long after that the answer is given here if the module has given none. */
-    private static final long BACKSTOP_US = 5_000;
+    private static final long FALLBACK_DELAY_US = 5_000;
     /**
      * A probe is given up after this: a load that old is no longer true, and the module takes the time of
      * each answer into the mean that it waits for.
@@ -60,53 +60,53 @@
 
     /** Where the final answer of a request goes. */
     interface Responder {
-        void answer(Answer answer);
+        void respond(ProxyResponse response);
 
         /**
-         * Takes an answer as it comes, in place of {@link #answer}.
+         * Takes an answer as it comes, in place of {@link #respond}.
          *
-         * @param length of it, or -1
-         * @param readOn called when more may be given after the sink was not writable
+         * @param contentLength of it, or -1
+         * @param resumeReading called when more may be given after the sink was not writable
          */
-        AnswerSink stream(long length, Runnable readOn);
+        AnswerSink startStream(long contentLength, Runnable resumeReading);
 
         /** Whether the client is seen to be there; where it may have left unseen it is not. */
-        boolean isPresent();
+        boolean isClientPresent();
     }
 
     /** A backend at its address, from when it is listed until it is gone and nothing is out there. */
     private static final class Backend {
         final Target target;
         final long startedAtUs;
-        boolean up;
+        boolean available;
         /** Since when it is not up any more; the greatest value where it is. */
-        long goneSinceUs = Long.MAX_VALUE;
+        long unavailableSinceUs = Long.MAX_VALUE;
         boolean listed = true;
         /** Attempts and probes out. */
-        int out;
+        int inFlight;
 
         Backend(Target target, long startedAtUs) {
             this.target = target;
             this.startedAtUs = startedAtUs;
         }
 
-        void setUp(boolean isUp, long nowUs) {
-            if (isUp) {
-                goneSinceUs = Long.MAX_VALUE;
-            } else if (up) {
-                goneSinceUs = nowUs;
+        void setAvailable(boolean isAvailable, long nowUs) {
+            if (isAvailable) {
+                unavailableSinceUs = Long.MAX_VALUE;
+            } else if (available) {
+                unavailableSinceUs = nowUs;
             }
-            up = isUp;
+            available = isAvailable;
         }
 
         /** For how long it has not been up; negative where it is. */
-        long goneUs(long nowUs) {
-            return goneSinceUs == Long.MAX_VALUE ? -1 : nowUs - goneSinceUs;
+        long unavailableForUs(long nowUs) {
+            return unavailableSinceUs == Long.MAX_VALUE ? -1 : nowUs - unavailableSinceUs;
         }
 
         /** Whether it is the process that listens at the address since then. */
-        boolean is(Target other, long startedAtOtherUs) {
-            return target.equals(other) && startedAtUs == startedAtOtherUs;
+        boolean isSameProcess(Target otherTarget, long otherStartedAtUs) {
+            return target.equals(otherTarget) && startedAtUs == otherStartedAtUs;
         }
     }
 
@@ -116,22 +116,22 @@
     private final BackendPool pool;
     private final Discovery discovery;
     private final Balancer balancer;
-    private final Figures figures;
+    private final Figures metrics;
     private final SendGuard guard;
     private final List<RequestClass> classes;
     private final int maxAttempts;
     private final Map<String, Exchange> exchanges = new HashMap<>();
     private final Map<String, Backend> backends = new HashMap<>();
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private boolean deciding;
+    private final ArrayDeque<ModuleEvent> events = new ArrayDeque<>();
+    private boolean moduleRunning;
     private final Readiness readiness;
-    private int unanswered;
+    private int pendingRequests;
     /** Of these, the ones that are still coming in. */
-    private int arriving;
+    private int incompleteRequests;
     private Runnable onIdle = () -> { };
 
     /** Something to tell the module. */
-    private record Event(Exchange about, Runnable tell) { }
+    private record ModuleEvent(Exchange exchange, Runnable delivery) { }
 
     ProxyLoop(EventLoop loop, Clock clock, EventLog log, ProxyConfig config, BackendPool pool,
             ProxyServer.Module module) {
@@ -140,13 +140,13 @@
         this.log = log;
         this.pool = pool;
         this.maxAttempts = config.settings().limits().maxAttempts();
-        this.figures = new Figures(config.classes());
+        this.metrics = new Figures(config.classes());
         this.guard = new SendGuard(log, config.settings().rules().drainGraceUs(), maxAttempts);
         this.classes = config.settings().classes();
         this.readiness = new Readiness(clock, log, config);
         this.discovery = new Discovery(loop, clock, log, config, this);
         this.balancer = module.create(config.settings(), config.seed(), this);
-        remember(config.known());
+        applyCachedList(config.known());
         if (!config.settings().watch()) {
             discovery.watch();
         }
@@ -158,19 +158,19 @@
 
     /** The figures as of now. */
     String counters() {
-        return figures.text(unanswered - arriving, balancer.serverCounts(clock.nowUs()),
+        return metrics.text(pendingRequests - incompleteRequests, balancer.serverCounts(clock.nowUs()),
                 List.of(discovery.calls()::metrics, guard::metrics));
     }
 
     /** Whether a list ever named the backend. */
-    boolean knows(String backend) {
+    boolean isKnownBackend(String backend) {
         return balancer.knows(backend);
     }
 
     /** Takes a backend out by hand, or back. */
-    void setOut(String backend, boolean out) {
-        tell(null, () -> {
-            if (out) {
+    void setDisabled(String backend, boolean disabled) {
+        notifyModule(null, () -> {
+            if (disabled) {
                 balancer.disable(clock.nowUs(), backend);
             } else {
                 balancer.enable(clock.nowUs(), backend);
@@ -179,10 +179,10 @@
     }
 
     /** Calls back when no request is unanswered, at once where none is. */
-    void whenIdle(Runnable then) {
-        onIdle = then;
-        if (unanswered == 0) {
-            then.run();
+    void whenIdle(Runnable callback) {
+        onIdle = callback;
+        if (pendingRequests == 0) {
+            callback.run();
         }
     }
 
@@ -190,28 +190,29 @@
         discovery.stop();
     }
 
-    void watchAt(InetSocketAddress address) {
+    void setDiscoveryAddress(InetSocketAddress address) {
         discovery.moveTo(address);
     }
 
     // ---- what happens
 
-    private void remember(EndpointList known) {
-        learn(known);
-        tell(null, () -> balancer.serversChanged(clock.nowUs(), ListKind.CACHED, known.servers()));
+    private void applyCachedList(EndpointList cachedList) {
+        updateBackends(cachedList);
+        notifyModule(null, () ->
+                balancer.serversChanged(clock.nowUs(), ListKind.CACHED, cachedList.servers()));
     }
 
     @Override
     public void listed(EndpointList list) {
-        learn(list);
-        tell(null, () -> balancer.serversChanged(clock.nowUs(),
+        updateBackends(list);
+        notifyModule(null, () -> balancer.serversChanged(clock.nowUs(),
                 list.whole() ? ListKind.FULL : ListKind.CHANGES, list.servers()));
         readiness.listed();
     }
 
     @Override
-    public void failed(DiscoveryFailure how) {
-        tell(null, () -> balancer.discoveryFailed(clock.nowUs(), how));
+    public void failed(DiscoveryFailure failure) {
+        notifyModule(null, () -> balancer.discoveryFailed(clock.nowUs(), failure));
     }
 
     /**
@@ -219,57 +220,59 @@
      * ever new ones come, and what nobody forgets grows for good. One at another address, or with another
      * start, than before is another process: what is open to the one before is of no use.
      */
-    private void learn(EndpointList list) {
+    private void updateBackends(EndpointList list) {
         if (list.whole()) {
-            Set<String> named = new HashSet<>();
-            list.endpoints().forEach(e -> named.add(e.server().id()));
-            backends.values().stream().filter(b -> !named.contains(b.target.id())).forEach(this::leave);
-        }
-        for (EndpointList.Endpoint e : list.endpoints()) {
-            Target target = new Target(e.server().id(), e.address());
-            Backend known = backends.get(target.id());
-            long startedAtUs = e.server().startedAtUs();
-            if (known != null && e.server().status() != ServerStatus.GONE && !known.is(target, startedAtUs)) {
-                leave(known);
-                known = null;
+            Set<String> listedIds = new HashSet<>();
+            list.endpoints().forEach(endpoint -> listedIds.add(endpoint.server().id()));
+            backends.values().stream().filter(b -> !listedIds.contains(b.target.id()))
+                    .forEach(this::removeFromList);
+        }
+        for (EndpointList.Endpoint endpoint : list.endpoints()) {
+            Target target = new Target(endpoint.server().id(), endpoint.address());
+            Backend backend = backends.get(target.id());
+            long startedAtUs = endpoint.server().startedAtUs();
+            if (backend != null && endpoint.server().status() != ServerStatus.GONE
+                    && !backend.isSameProcess(target, startedAtUs)) {
+                removeFromList(backend);
+                backend = null;
             }
-            if (e.server().status() == ServerStatus.GONE) {
-                if (known != null) {
-                    leave(known);
+            if (endpoint.server().status() == ServerStatus.GONE) {
+                if (backend != null) {
+                    removeFromList(backend);
                 }
                 continue;
             }
-            if (known == null) {
-                known = new Backend(target, startedAtUs);
-                backends.put(target.id(), known);
+            if (backend == null) {
+                backend = new Backend(target, startedAtUs);
+                backends.put(target.id(), backend);
             }
-            known.listed = true;
-            known.setUp(e.server().status() == ServerStatus.UP, clock.nowUs());
+            backend.listed = true;
+            backend.setAvailable(endpoint.server().status() == ServerStatus.UP, clock.nowUs());
         }
-        backends.values().removeIf(b -> !b.listed && b.out == 0);
+        backends.values().removeIf(b -> !b.listed && b.inFlight == 0);
     }
 
-    private void leave(Backend backend) {
-        backend.setUp(false, clock.nowUs());
+    private void removeFromList(Backend backend) {
+        backend.setAvailable(false, clock.nowUs());
         backend.listed = false;
         pool.closeIdle(backend.target);
     }
 
     private Handle sendTo(Backend backend, Outgoing outgoing, BackendPool.Listener listener) {
-        backend.out++;
+        backend.inFlight++;
         return pool.send(backend.target, outgoing, new BackendPool.Listener() {
             @Override
-            public AnswerSink streams(long length, Runnable readOn) {
-                return listener.streams(length, readOn);
+            public AnswerSink streams(long contentLength, Runnable resumeReading) {
+                return listener.streams(contentLength, resumeReading);
             }
 
             @Override
             public void done(Result result) {
-                backend.out--;
-                if (!backend.listed && backend.out == 0) {
+                backend.inFlight--;
+                if (!backend.listed && backend.inFlight == 0) {
                     backends.remove(backend.target.id(), backend);
                 }
-                if (!backend.up) {
+                if (!backend.available) {
                     pool.closeIdle(backend.target);
                 }
                 listener.done(result);
@@ -278,95 +281,103 @@
     }
 
     /** Takes a request; false where one with its id is still held. */
-    boolean take(ProxyRequest request, Responder responder) {
-        long now = clock.nowUs();
-        Exchange e = new Exchange(request, responder, now + request.timeLeftUs() - ANSWER_MARGIN_US);
-        if (exchanges.putIfAbsent(request.id(), e) != null) {
+    boolean accept(ProxyRequest request, Responder responder) {
+        long nowUs = clock.nowUs();
+        Exchange exchange = new Exchange(request, responder,
+                nowUs + request.timeLeftUs() - RESPONSE_MARGIN_US);
+        if (exchanges.putIfAbsent(request.id(), exchange) != null) {
             return false;
         }
-        unanswered++;
-        e.arriving = !request.body().isWhole();
-        arriving += e.arriving ? 1 : 0;
-        if (!e.arriving) {
-            watchOver(e);
-        }
-        tell(e, () -> {
-            long at = clock.nowUs();
-            balancer.request(at, new Request(request.id(), request.requestClass(), request.tenant(),
-                    Math.max(0, e.deadlineUs - at), request.expectedWorkUs(), request.clientRetry(),
-                    e.arriving));
+        pendingRequests++;
+        exchange.incomplete = !request.body().isComplete();
+        incompleteRequests += exchange.incomplete ? 1 : 0;
+        if (!exchange.incomplete) {
+            startFallbackTimer(exchange);
+        }
+        notifyModule(exchange, () -> {
+            long deliveredAtUs = clock.nowUs();
+            balancer.request(deliveredAtUs,
+                    new Request(request.id(), request.requestClass(), request.tenant(),
+                    Math.max(0, exchange.deadlineUs - deliveredAtUs), request.expectedWorkUs(),
+                    request.clientRetry(),
+                    exchange.incomplete));
         });
         return true;
     }
 
-    private void watchOver(Exchange e) {
-        e.backstop = loop.schedule(() -> overdue(e), Math.max(0, e.deadlineUs - clock.nowUs()) + BACKSTOP_US,
+    private void startFallbackTimer(Exchange exchange) {
+        exchange.fallbackTimer =
+                loop.schedule(() -> respondInPlaceOfModule(exchange),
+                Math.max(0, exchange.deadlineUs - clock.nowUs()) + FALLBACK_DELAY_US,
                 TimeUnit.MICROSECONDS);
     }
 
     /** The last byte of a request has come in that was taken before: its time counts from now on. */
-    void whole(String id) {
-        Exchange e = exchanges.get(id);
-        if (e == null || !e.arriving) {
+    void requestComplete(String id) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange == null || !exchange.incomplete) {
             return;
         }
-        arrived(e);
-        if (e.answered || e.stream != null) {
+        markComplete(exchange);
+        if (exchange.responded || exchange.streamedAttempt != null) {
             return;
         }
-        long now = clock.nowUs();
-        e.deadlineUs = now + e.request.timeLeftUs() - ANSWER_MARGIN_US;
-        watchOver(e);
-        for (Attempt attempt : e.attempts) {
+        long nowUs = clock.nowUs();
+        exchange.deadlineUs = nowUs + exchange.request.timeLeftUs() - RESPONSE_MARGIN_US;
+        startFallbackTimer(exchange);
+        for (Attempt attempt : exchange.attempts) {
             if (attempt.outcome == null) {
-                attempt.sentAtUs = now;
+                attempt.sentAtUs = nowUs;
                 if (attempt.handle != null) {
-                    attempt.handle.expireIn(e.deadlineUs - now);
+                    attempt.handle.expireIn(exchange.deadlineUs - nowUs);
                 }
             }
         }
-        tell(e, () -> balancer.requestComplete(clock.nowUs(), id, Math.max(0, e.deadlineUs - clock.nowUs())));
+        notifyModule(exchange,
+                () -> balancer.requestComplete(clock.nowUs(), id,
+                Math.max(0, exchange.deadlineUs - clock.nowUs())));
     }
 
-    private void arrived(Exchange e) {
-        arriving -= e.arriving ? 1 : 0;
-        e.arriving = false;
+    private void markComplete(Exchange exchange) {
+        incompleteRequests -= exchange.incomplete ? 1 : 0;
+        exchange.incomplete = false;
     }
 
     /** Part of a request's body went out that is not held: it cannot be sent again whole. */
-    void spent(String id) {
-        Exchange e = exchanges.get(id);
-        if (e != null) {
-            tell(e, () -> balancer.bodyDiscarded(clock.nowUs(), id));
+    void bodyDiscarded(String id) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null) {
+            notifyModule(exchange, () -> balancer.bodyDiscarded(clock.nowUs(), id));
         }
     }
 
     /** The client has closed its connection: no answer is owed any more. */
     void clientGone(String id) {
-        Exchange e = exchanges.get(id);
-        if (e != null && !e.answered) {
-            boolean arriving = e.arriving;
-            end(e);
-            if (e.stream != null && e.stream.handle != null) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null && !exchange.responded) {
+            boolean wasIncomplete = exchange.incomplete;
+            markResponded(exchange);
+            if (exchange.streamedAttempt != null && exchange.streamedAttempt.handle != null) {
                 // It is the client's: the module has nothing to call off any more.
-                e.stream.handle.cancel();
+                exchange.streamedAttempt.handle.cancel();
             }
-            if (arriving) {
+            if (wasIncomplete) {
                 // No attempt can come to be whole, whether or not attempts may be called off.
-                e.attempts.stream().filter(a -> a.handle != null).forEach(a -> a.handle.cancel());
+                exchange.attempts.stream().filter(a -> a.handle != null).forEach(a -> a.handle.cancel());
             }
-            tell(e, () -> balancer.clientGone(clock.nowUs(), id));
-            forget(e);
+            notifyModule(exchange, () -> balancer.clientGone(clock.nowUs(), id));
+            removeIfFinished(exchange);
         }
     }
 
     /** Guards against a request that the module holds too long: it is answered here, just in time. */
-    private void overdue(Exchange e) {
-        if (!e.answered && e.stream == null) {
-            log.line(Kind.REQUEST, "request " + e.request.id() + " was not answered in time by the module");
-            answer(e, e.mayHaveRun() ? Answer.failed() : Answer.refused(0));
-            tell(e, () -> balancer.clientGone(clock.nowUs(), e.request.id()));
-            forget(e);
+    private void respondInPlaceOfModule(Exchange exchange) {
+        if (!exchange.responded && exchange.streamedAttempt == null) {
+            log.line(Kind.REQUEST,
+                    "request " + exchange.request.id() + " was not answered in time by the module");
+            respond(exchange, exchange.mayHaveRun() ? ProxyResponse.failed() : ProxyResponse.refused(0));
+            notifyModule(exchange, () -> balancer.clientGone(clock.nowUs(), exchange.request.id()));
+            removeIfFinished(exchange);
         }
     }
 
@@ -375,197 +386,213 @@
      * answers that move go on; cut off here they would be lost for certain. One that hangs is broken off:
      * then its client can tell, and the kill would leave it with nothing.
      */
-    void answerAll() {
-        for (Exchange e : List.copyOf(exchanges.values())) {
-            if (e.stream == null) {
-                overdue(e);
-            } else if (e.stream.handle != null) {
-                e.stream.handle.breakOff();
+    void terminateAll() {
+        for (Exchange exchange : List.copyOf(exchanges.values())) {
+            if (exchange.streamedAttempt == null) {
+                respondInPlaceOfModule(exchange);
+            } else if (exchange.streamedAttempt.handle != null) {
+                exchange.streamedAttempt.handle.breakOff();
             }
         }
     }
 
-    private void attemptEnded(Exchange e, Attempt attempt, Result result) {
+    private void attemptEnded(Exchange exchange, Attempt attempt, Result result) {
         attempt.outcome = result.outcome();
-        boolean streamed = e.stream == attempt;
-        long elapsedUs = (streamed ? e.streamedAtUs : clock.nowUs()) - attempt.sentAtUs;
-        if (streamed && !e.answered) {
-            figures.ended(e.request.requestClass(), result.outcome() == Outcome.OK ? Figures.End.SUCCESS
+        boolean streamed = exchange.streamedAttempt == attempt;
+        long elapsedUs = (streamed ? exchange.streamStartedAtUs : clock.nowUs()) - attempt.sentAtUs;
+        if (streamed && !exchange.responded) {
+            metrics.ended(exchange.request.requestClass(),
+                    result.outcome() == Outcome.OK ? Figures.End.SUCCESS
                     : Figures.End.ERROR);
-            end(e);
+            markResponded(exchange);
             if (result.outcome() != Outcome.OK) {
-                e.sink.broken();
+                exchange.sink.broken();
             }
-        } else if (result.outcome() == Outcome.OK && !e.answered && e.stream == null) {
-            answer(e, Answer.served(result.body()));
+        } else if (result.outcome() == Outcome.OK && !exchange.responded
+                && exchange.streamedAttempt == null) {
+            respond(exchange, ProxyResponse.ok(result.body()));
         }
-        boolean ended = e.answered || e.stream != null;
+        boolean requestEnded = exchange.responded || exchange.streamedAttempt != null;
         if (result.outcome() != Outcome.OK && result.outcome() != Outcome.CANCELLED) {
-            log.line(Kind.ATTEMPT, "attempt " + attempt.number + " of " + e.request.id() + " at "
+            log.line(Kind.ATTEMPT, "attempt " + attempt.number + " of " + exchange.request.id() + " at "
                     + attempt.server + ": " + result.outcome() + " after " + elapsedUs + " us");
         }
-        tell(e, () -> balancer.outcome(clock.nowUs(), e.request.id(), attempt.number, attempt.server,
-                result.outcome(), elapsedUs, ended, result.report()));
-        forget(e);
+        notifyModule(exchange,
+                () -> balancer.outcome(clock.nowUs(), exchange.request.id(), attempt.number, attempt.server,
+                result.outcome(), elapsedUs, requestEnded, result.report()));
+        removeIfFinished(exchange);
     }
 
     /** The answer to an attempt is too long to be held: from now on it is the client's, as it comes. */
-    private AnswerSink stream(Exchange e, Attempt attempt, long length, Runnable readOn) {
-        if (e.answered || e.stream != null) {
+    private AnswerSink startStream(Exchange exchange, Attempt attempt, long contentLength,
+            Runnable resumeReading) {
+        if (exchange.responded || exchange.streamedAttempt != null) {
             return null;
         }
-        e.stream = attempt;
-        e.streamedAtUs = clock.nowUs();
-        if (e.backstop != null) {
-            e.backstop.cancel(false);
+        exchange.streamedAttempt = attempt;
+        exchange.streamStartedAtUs = clock.nowUs();
+        if (exchange.fallbackTimer != null) {
+            exchange.fallbackTimer.cancel(false);
         }
-        e.sink = e.responder.stream(length, readOn);
-        tell(e, () -> balancer.streamStarted(clock.nowUs(), e.request.id(), attempt.number, attempt.server,
-                e.streamedAtUs - attempt.sentAtUs));
-        return e.sink;
+        exchange.sink = exchange.responder.startStream(contentLength, resumeReading);
+        notifyModule(exchange,
+                () -> balancer.streamStarted(clock.nowUs(), exchange.request.id(), attempt.number,
+                attempt.server,
+                exchange.streamStartedAtUs - attempt.sentAtUs));
+        return exchange.sink;
     }
 
     /**
      * Tells the module of an event, after those before it. The module must not be called from within one of
      * its actions, so what an action brings about at once waits here until the module has returned.
      */
-    private void tell(Exchange about, Runnable what) {
-        events.add(new Event(about, what));
-        if (deciding) {
+    private void notifyModule(Exchange exchange, Runnable delivery) {
+        events.add(new ModuleEvent(exchange, delivery));
+        if (moduleRunning) {
             return;
         }
-        deciding = true;
-        for (Event event = events.poll(); event != null; event = events.poll()) {
+        moduleRunning = true;
+        for (ModuleEvent event = events.poll(); event != null; event = events.poll()) {
             try {
-                event.tell().run();
-            } catch (RuntimeException bug) {
-                log.bug("in the decision module", bug);
-                if (event.about() != null && !event.about().answered && event.about().stream == null) {
-                    answer(event.about(), Answer.failed());
+                event.delivery().run();
+            } catch (RuntimeException exception) {
+                log.bug("in the decision module", exception);
+                if (event.exchange() != null && !event.exchange().responded
+                        && event.exchange().streamedAttempt == null) {
+                    respond(event.exchange(), ProxyResponse.failed());
                 }
             }
         }
-        deciding = false;
+        moduleRunning = false;
     }
 
     // ---- what the module asks for
 
     @Override
     public void send(String id, String server, long timeoutUs) {
-        long now = clock.nowUs();
-        Exchange e = exchanges.get(id);
+        long nowUs = clock.nowUs();
+        Exchange exchange = exchanges.get(id);
         Backend backend = backends.get(server);
-        if (e == null) {
+        if (exchange == null) {
             log.line(Kind.ATTEMPT, "send of " + id + " to " + server + ": the request is not known");
             return;
         }
-        if (!e.attempts.isEmpty()) {
-            figures.retried();
-            log.line(Kind.ATTEMPT, "request " + id + " is sent again, to " + server + e.history());
+        if (!exchange.attempts.isEmpty()) {
+            metrics.retried();
+            log.line(Kind.ATTEMPT,
+                    "request " + id + " is sent again, to " + server + exchange.describeAttempts());
         }
-        Attempt attempt = new Attempt(e.attempts.size(), server, now);
-        e.attempts.add(attempt);
-        long leftUs = e.deadlineUs - now;
-        long waitUs = timeoutUs == 0 ? leftUs : Math.min(timeoutUs, leftUs);
-        if (backend == null || e.answered || e.stream != null || waitUs <= 0
+        Attempt attempt = new Attempt(exchange.attempts.size(), server, nowUs);
+        exchange.attempts.add(attempt);
+        long timeLeftUs = exchange.deadlineUs - nowUs;
+        long attemptTimeoutUs = timeoutUs == 0 ? timeLeftUs : Math.min(timeoutUs, timeLeftUs);
+        if (backend == null || exchange.responded || exchange.streamedAttempt != null || attemptTimeoutUs <= 0
                 || attempt.number >= maxAttempts) {
-            loop.execute(() -> attemptEnded(e, attempt, Result.without(Outcome.NOT_SENT)));
+            loop.execute(() -> attemptEnded(exchange, attempt, Result.without(Outcome.NOT_SENT)));
             return;
         }
-        long untilUs = now + waitUs;
+        long attemptDeadlineUs = nowUs + attemptTimeoutUs;
         // Guards against a connection that comes up late: one to a backend that was told to drain, or that
         // has gone or was taken out, in the meantime is sent nothing, and neither is what is over by then.
-        attempt.handle = sendTo(backend, new Outgoing(() -> written(e, attempt, backend, untilUs),
-                e.request.body(), () -> guard.mayWrite(new WriteConditions(e.answered || e.stream != null,
-                        e.responder.isPresent(), backend.up, e.request.body().canBeSent(),
+        attempt.handle = sendTo(backend,
+                new Outgoing(() -> buildCheckedMessage(exchange, attempt, backend, attemptDeadlineUs),
+                exchange.request.body(),
+                () -> guard.mayWrite(new WriteConditions(exchange.responded
+                || exchange.streamedAttempt != null,
+                        exchange.responder.isClientPresent(), backend.available,
+                        exchange.request.body().canBeSent(),
                         balancer.maySend(clock.nowUs(), id, attempt.number))),
-                figures::dispatched, e.arriving ? BackendPool.NO_TIMEOUT : waitUs, Outcome.TIMEOUT),
+                metrics::dispatched, exchange.incomplete ? BackendPool.NO_TIMEOUT : attemptTimeoutUs,
+                Outcome.TIMEOUT),
                 new BackendPool.Listener() {
                     @Override
-                    public AnswerSink streams(long length, Runnable readOn) {
-                        return stream(e, attempt, length, readOn);
+                    public AnswerSink streams(long contentLength, Runnable resumeReading) {
+                        return startStream(exchange, attempt, contentLength, resumeReading);
                     }
 
                     @Override
                     public void done(Result result) {
-                        attemptEnded(e, attempt, result);
+                        attemptEnded(exchange, attempt, result);
                     }
                 });
     }
 
     /** The message of an attempt, which is written at once and held against the rules. */
-    private HttpRequest written(Exchange e, Attempt attempt, Backend backend, long untilUs) {
-        long now = clock.nowUs();
-        boolean othersMayHaveRun = e.attempts.stream().filter(other -> other != attempt)
+    private HttpRequest buildCheckedMessage(Exchange exchange, Attempt attempt, Backend backend,
+            long attemptDeadlineUs) {
+        long nowUs = clock.nowUs();
+        boolean othersMayHaveRun = exchange.attempts.stream().filter(other -> other != attempt)
                 .anyMatch(other -> other.outcome == null || !other.outcome.provesNotRun);
-        guard.checkWritten(new SendGuard.Attempt(e.request.id(), attempt.server, backend.goneUs(now),
-                classes.get(e.request.requestClass()).effect(), othersMayHaveRun, attempt.number + 1,
-                untilUs - now, e.deadlineUs + ANSWER_MARGIN_US - now));
-        return message(e.request, untilUs);
+        guard.checkWritten(new SendGuard.Attempt(exchange.request.id(), attempt.server,
+                backend.unavailableForUs(nowUs),
+                classes.get(exchange.request.requestClass()).effect(), othersMayHaveRun, attempt.number + 1,
+                attemptDeadlineUs - nowUs, exchange.deadlineUs + RESPONSE_MARGIN_US - nowUs));
+        return buildMessage(exchange.request, attemptDeadlineUs);
     }
 
     SendGuard guard() {
         return guard;
     }
 
-    private boolean mayGet(Backend backend) {
-        return backend.up && !balancer.isDisabled(backend.target.id());
+    private boolean mayProbe(Backend backend) {
+        return backend.available && !balancer.isDisabled(backend.target.id());
     }
 
     /** The whole message, or the head of one whose body follows as it comes. */
-    private HttpRequest message(ProxyRequest request, long untilUs) {
+    private HttpRequest buildMessage(ProxyRequest request, long attemptDeadlineUs) {
         RequestBody body = request.body();
-        boolean held = body.isWhole() && !body.isLong();
-        HttpRequest message = held
+        boolean fullyBuffered = body.isComplete() && !body.exceedsBuffer();
+        HttpRequest message = fullyBuffered
                 ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(),
-                        Unpooled.wrappedBuffer(body.bytes()))
+                        Unpooled.wrappedBuffer(body.bufferedContent()))
                 : new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri());
         message.headers().set(HttpHeaderNames.HOST, "backend").set("X-Request-Id", request.id())
-                .set("X-Deadline", Math.max(1, untilUs - clock.nowUs()) + "u");
+                .set("X-Deadline", Math.max(1, attemptDeadlineUs - clock.nowUs()) + "u");
         if (request.idempotencyKey() != null) {
             message.headers().set("Idempotency-Key", request.idempotencyKey());
         }
-        long length = held ? body.size() : body.length();
-        if (length < 0) {
+        long contentLength = fullyBuffered ? body.bufferedBytes() : body.declaredLength();
+        if (contentLength < 0) {
             message.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        } else if (!request.method().equals(HttpMethod.GET) || length > 0) {
-            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
+        } else if (!request.method().equals(HttpMethod.GET) || contentLength > 0) {
+            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, contentLength);
         }
         return message;
     }
 
     @Override
     public void reportGiveUp(String id, GiveUpReason reason) {
-        figures.gaveUp(reason);
-        Exchange e = exchanges.get(id);
-        if (e != null) {
-            log.line(Kind.REQUEST, "request " + id + " is given up: " + reason + e.history());
+        metrics.gaveUp(reason);
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null) {
+            log.line(Kind.REQUEST, "request " + id + " is given up: " + reason + exchange.describeAttempts());
         }
     }
 
     @Override
     public void refuse(String id, long retryAfterUs) {
-        finish(id, Answer.refused(retryAfterUs));
+        respondIfPending(id, ProxyResponse.refused(retryAfterUs));
     }
 
     @Override
     public void fail(String id) {
-        finish(id, Answer.failed());
+        respondIfPending(id, ProxyResponse.failed());
     }
 
-    private void finish(String id, Answer answer) {
-        Exchange e = exchanges.get(id);
-        if (e != null && !e.answered && e.stream == null) {
-            answer(e, answer);
-            forget(e);
+    private void respondIfPending(String id, ProxyResponse response) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null && !exchange.responded && exchange.streamedAttempt == null) {
+            respond(exchange, response);
+            removeIfFinished(exchange);
         }
     }
 
     @Override
-    public void cancel(String id, int number) {
-        Exchange e = exchanges.get(id);
-        if (e != null && number < e.attempts.size() && e.attempts.get(number).handle != null) {
-            e.attempts.get(number).handle.cancel();
+    public void cancel(String id, int attemptNumber) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null && attemptNumber < exchange.attempts.size()
+                && exchange.attempts.get(attemptNumber).handle != null) {
+            exchange.attempts.get(attemptNumber).handle.cancel();
         }
     }
 
@@ -584,10 +611,11 @@
             return;
         }
         long sentAtUs = clock.nowUs();
-        sendTo(backend, new Outgoing(ProxyLoop::probeMessage, () -> mayGet(backend), () -> { },
-                PROBE_TIMEOUT_US, Outcome.TIMEOUT), result -> tell(null, () -> {
-                    long now = clock.nowUs();
-                    balancer.probeResult(now, server, result.outcome(), now - sentAtUs, report(result));
+        sendTo(backend, new Outgoing(ProxyLoop::probeMessage, () -> mayProbe(backend), () -> { },
+                PROBE_TIMEOUT_US, Outcome.TIMEOUT), result -> notifyModule(null, () -> {
+                    long nowUs = clock.nowUs();
+                    balancer.probeResult(nowUs, server, result.outcome(), nowUs - sentAtUs,
+                            loadReport(result));
                 }));
     }
 
@@ -598,14 +626,14 @@
         return message;
     }
 
-    private static LoadReport report(Result result) {
+    private static LoadReport loadReport(Result result) {
         return result.report() != null || result.body() == null ? result.report()
-                : LoadText.parse(new String(result.body(), StandardCharsets.UTF_8));
+                : LoadReportParser.parse(new String(result.body(), StandardCharsets.UTF_8));
     }
 
     @Override
     public void wakeAt(long atUs) {
-        loop.schedule(() -> tell(null, () -> balancer.timer(clock.nowUs())),
+        loop.schedule(() -> notifyModule(null, () -> balancer.timer(clock.nowUs())),
                 Math.max(0, atUs - clock.nowUs()), TimeUnit.MICROSECONDS);
     }
 
@@ -622,22 +650,22 @@
     // ---- requests
 
     /** Gives the one final answer. */
-    private void answer(Exchange e, Answer answer) {
-        figures.ended(e.request.requestClass(), answer.end());
-        end(e);
-        e.responder.answer(answer);
+    private void respond(Exchange exchange, ProxyResponse response) {
+        metrics.ended(exchange.request.requestClass(), response.category());
+        markResponded(exchange);
+        exchange.responder.respond(response);
     }
 
-    private void end(Exchange e) {
-        e.answered = true;
-        if (e.backstop != null) {
-            e.backstop.cancel(false);
+    private void markResponded(Exchange exchange) {
+        exchange.responded = true;
+        if (exchange.fallbackTimer != null) {
+            exchange.fallbackTimer.cancel(false);
         }
-        arrived(e);
-        unanswered--;
-        if (unanswered == 0) {
+        markComplete(exchange);
+        pendingRequests--;
+        if (pendingRequests == 0) {
             loop.execute(() -> {
-                if (unanswered == 0) {
+                if (pendingRequests == 0) {
                     onIdle.run();
                 }
             });
@@ -645,9 +673,9 @@
     }
 
     /** A request is remembered until its last attempt has ended, as the module is told of that too. */
-    private void forget(Exchange e) {
-        if (e.answered && e.attempts.stream().allMatch(a -> a.outcome != null)) {
-            exchanges.remove(e.request.id(), e);
+    private void removeIfFinished(Exchange exchange) {
+        if (exchange.responded && exchange.attempts.stream().allMatch(a -> a.outcome != null)) {
+            exchanges.remove(exchange.request.id(), exchange);
         }
     }
 
@@ -658,12 +686,12 @@
         final List<Attempt> attempts = new ArrayList<>(2);
         long deadlineUs;
         /** Not all of it is in. */
-        boolean arriving;
-        Future<?> backstop;
-        boolean answered;
+        boolean incomplete;
+        Future<?> fallbackTimer;
+        boolean responded;
         /** The attempt whose long answer is the client's; null where there is none. */
-        Attempt stream;
-        long streamedAtUs;
+        Attempt streamedAttempt;
+        long streamStartedAtUs;
         AnswerSink sink;
 
         Exchange(ProxyRequest request, Responder responder, long deadlineUs) {
@@ -673,10 +701,11 @@
         }
 
         /** Its attempts so far, in words. */
-        String history() {
+        String describeAttempts() {
             StringBuilder text = new StringBuilder(" after");
-            for (Attempt a : attempts) {
-                text.append(' ').append(a.server).append('=').append(a.outcome == null ? "OUT" : a.outcome);
+            for (Attempt attempt : attempts) {
+                text.append(' ').append(attempt.server).append('=')
+                        .append(attempt.outcome == null ? "OUT" : attempt.outcome);
             }
             return attempts.isEmpty() ? " before any attempt" : text.toString();
         }
--- a/src/main/java/passhatch/proxy/Answer.java
+++ b/src/main/java/passhatch/proxy/ProxyResponse.java
@@ -8,34 +8,34 @@
  *
  * @param retryAfter the value of Retry-After, or null
  */
-record Answer(HttpResponseStatus status, String retryAfter, byte[] body) {
+record ProxyResponse(HttpResponseStatus status, String retryAfter, byte[] body) {
 
     private static final byte[] NO_BODY = {};
 
-    static Answer served(byte[] body) {
-        return new Answer(HttpResponseStatus.OK, null, body);
+    static ProxyResponse ok(byte[] body) {
+        return new ProxyResponse(HttpResponseStatus.OK, null, body);
     }
 
     /** Promises that trying again is harmless. */
-    static Answer refused(long retryAfterUs) {
+    static ProxyResponse refused(long retryAfterUs) {
         String seconds = retryAfterUs <= 0 ? null
                 : BigDecimal.valueOf(retryAfterUs, 6).stripTrailingZeros().toPlainString();
-        return new Answer(HttpResponseStatus.SERVICE_UNAVAILABLE, seconds, NO_BODY);
+        return new ProxyResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, seconds, NO_BODY);
     }
 
     /** Promises nothing. */
-    static Answer failed() {
-        return new Answer(HttpResponseStatus.BAD_GATEWAY, null, NO_BODY);
+    static ProxyResponse failed() {
+        return new ProxyResponse(HttpResponseStatus.BAD_GATEWAY, null, NO_BODY);
     }
 
     /** What it counts as. */
-    Figures.End end() {
+    Figures.End category() {
         return status.equals(HttpResponseStatus.OK) ? Figures.End.SUCCESS
                 : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Figures.End.OVERLOAD
                 : Figures.End.ERROR;
     }
 
-    static Answer of(HttpResponseStatus status) {
-        return new Answer(status, null, NO_BODY);
+    static ProxyResponse withStatus(HttpResponseStatus status) {
+        return new ProxyResponse(status, null, NO_BODY);
     }
 }
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -211,9 +211,9 @@
             SharedState before = now;
             now = state;
             state.out().stream().filter(id -> !before.out().contains(id))
-                    .forEach(id -> proxy.setOut(id, true));
+                    .forEach(id -> proxy.setDisabled(id, true));
             before.out().stream().filter(id -> !state.out().contains(id))
-                    .forEach(id -> proxy.setOut(id, false));
+                    .forEach(id -> proxy.setDisabled(id, false));
             if (state.outOfService() != before.outOfService()) {
                 log.line(state.outOfService() ? "out of service by hand" : "in service by hand");
                 if (state.outOfService()) {
@@ -246,7 +246,7 @@
 
         @Override
         public boolean knows(String backend) {
-            return proxy.knows(backend);
+            return proxy.isKnownBackend(backend);
         }
 
         @Override
@@ -285,7 +285,7 @@
             loop.execute(() -> {
                 log.line(line);
                 if (watched != null) {
-                    proxy.watchAt(watched);
+                    proxy.setDiscoveryAddress(watched);
                 }
             });
         } catch (RejectedExecutionException ended) {
@@ -322,7 +322,7 @@
                 proxy.whenIdle(this::endOnceDone);
             }, ending.takeUntilMs(), TimeUnit.MILLISECONDS);
             loop.schedule(() -> {
-                proxy.answerAll();
+                proxy.terminateAll();
                 answeredAll = true;
                 proxy.whenIdle(this::endOnceDone);
             }, ending.answerAtMs(), TimeUnit.MILLISECONDS);
--- a/src/main/java/passhatch/proxy/RequestBody.java
+++ b/src/main/java/passhatch/proxy/RequestBody.java
@@ -13,13 +13,13 @@
 final class RequestBody {
 
     /** The bytes that are held: a request with no more is sent once it is whole. */
-    static final int HELD = 1 << 16;
-    private static final int FIRST_CAPACITY = 1 << 9;
+    static final int MAX_BUFFERED_BYTES = 1 << 16;
+    private static final int INITIAL_CAPACITY_BYTES = 1 << 9;
 
     /** The attempt that is being written. */
     interface Receiver {
         /** Takes bytes, and the duty to release them. */
-        void part(ByteBuf bytes);
+        void write(ByteBuf bytes);
 
         /** The body is whole. */
         void end();
@@ -31,179 +31,180 @@
     /** The client's side. */
     interface Source {
         /** More may be read. */
-        void readOn();
+        void resumeReading();
 
         /** Bytes that are not held went out: it cannot be sent again whole. */
-        void spent();
+        void bodyDiscarded();
     }
 
     private final BodyBudget budget;
-    private final long length;
+    private final long declaredLength;
     private Source source;
-    private byte[] held = {};
-    private int size;
-    private int reserved;
+    private byte[] buffer = {};
+    private int bufferedBytes;
+    private int reservedBytes;
     /** Bytes beyond those held, until there is a receiver: no more than one read brings. */
-    private final Deque<ByteBuf> beyond = new ArrayDeque<>();
-    private boolean whole;
-    private boolean spent;
+    private final Deque<ByteBuf> overflow = new ArrayDeque<>();
+    private boolean complete;
+    private boolean discarded;
     private boolean dropped;
     private Receiver receiver;
-    private boolean endGiven;
+    private boolean endWritten;
 
     /**
      * A body of which nothing is in.
      *
-     * @param length as told by its head, or -1
+     * @param declaredLength as told by its head, or -1
      */
-    RequestBody(BodyBudget budget, long length) {
+    RequestBody(BodyBudget budget, long declaredLength) {
         this.budget = budget;
-        this.length = length;
+        this.declaredLength = declaredLength;
     }
 
-    void source(Source other) {
-        source = other;
+    void setSource(Source newSource) {
+        source = newSource;
     }
 
-    long length() {
-        return length;
+    long declaredLength() {
+        return declaredLength;
     }
 
-    boolean isWhole() {
-        return whole;
+    boolean isComplete() {
+        return complete;
     }
 
     /** Whether there is more of it than is held, so that it cannot wait until it is whole. */
-    boolean isLong() {
-        return spent || !beyond.isEmpty();
+    boolean exceedsBuffer() {
+        return discarded || !overflow.isEmpty();
     }
 
     /** Whether the client must not be read now. */
-    boolean isFull() {
-        return isLong() && (receiver == null || !receiver.isWritable());
+    boolean mustPauseReading() {
+        return exceedsBuffer() && (receiver == null || !receiver.isWritable());
     }
 
     /** Takes more of it; false where no memory is left to hold it. */
-    boolean add(ByteBuf more) {
-        int bytes = more.readableBytes();
-        if (dropped || bytes == 0) {
+    boolean add(ByteBuf part) {
+        int partBytes = part.readableBytes();
+        if (dropped || partBytes == 0) {
             return true;
         }
-        if (!isLong() && size + bytes <= HELD) {
-            if (!reserve(size + bytes)) {
+        if (!exceedsBuffer() && bufferedBytes + partBytes <= MAX_BUFFERED_BYTES) {
+            if (!reserve(bufferedBytes + partBytes)) {
                 return false;
             }
-            more.getBytes(more.readerIndex(), held, size, bytes);
-            size += bytes;
+            part.getBytes(part.readerIndex(), buffer, bufferedBytes, partBytes);
+            bufferedBytes += partBytes;
             if (receiver != null) {
-                receiver.part(more.retain());
+                receiver.write(part.retain());
             }
             return true;
         }
-        beyond.add(more.retain());
-        pass();
+        overflow.add(part.retain());
+        writeOverflow();
         return true;
     }
 
-    private boolean reserve(int most) {
-        if (most > reserved) {
-            int capacity = Math.min(HELD, Math.max(Math.max(FIRST_CAPACITY, most), reserved * 2));
-            if (!budget.reserve(capacity - reserved)) {
+    private boolean reserve(int neededBytes) {
+        if (neededBytes > reservedBytes) {
+            int capacityBytes = Math.min(MAX_BUFFERED_BYTES,
+                    Math.max(Math.max(INITIAL_CAPACITY_BYTES, neededBytes), reservedBytes * 2));
+            if (!budget.reserve(capacityBytes - reservedBytes)) {
                 return false;
             }
-            reserved = capacity;
-            held = Arrays.copyOf(held, capacity);
+            reservedBytes = capacityBytes;
+            buffer = Arrays.copyOf(buffer, capacityBytes);
         }
         return true;
     }
 
     /** All of it is in. */
     void end() {
-        whole = true;
-        endIfDone();
+        complete = true;
+        endIfComplete();
     }
 
-    private void endIfDone() {
-        if (whole && receiver != null && beyond.isEmpty() && !endGiven) {
-            endGiven = true;
+    private void endIfComplete() {
+        if (complete && receiver != null && overflow.isEmpty() && !endWritten) {
+            endWritten = true;
             receiver.end();
         }
     }
 
     /** Whether an attempt can be given all of it: nothing is lost, and no other attempt is in the middle. */
     boolean canBeSent() {
-        return !spent && !dropped && receiver == null;
+        return !discarded && !dropped && receiver == null;
     }
 
     /** Gives it to an attempt, from its first byte on. */
-    void attach(Receiver to) {
+    void attach(Receiver newReceiver) {
         if (!canBeSent()) {
             throw new IllegalStateException("it cannot be sent again whole");
         }
-        receiver = to;
-        endGiven = false;
-        if (size > 0) {
+        receiver = newReceiver;
+        endWritten = false;
+        if (bufferedBytes > 0) {
             // Bytes that are held never change; more may only come behind them.
-            to.part(Unpooled.wrappedBuffer(held, 0, size));
+            newReceiver.write(Unpooled.wrappedBuffer(buffer, 0, bufferedBytes));
         }
         resume();
     }
 
     /** The attempt has ended: it gets no more. */
-    void detach(Receiver from) {
-        if (receiver == from) {
+    void detach(Receiver formerReceiver) {
+        if (receiver == formerReceiver) {
             receiver = null;
         }
     }
 
     /** The attempt may be given more. */
     void resume() {
-        pass();
-        endIfDone();
-        if (!whole && !isFull() && source != null) {
-            source.readOn();
+        writeOverflow();
+        endIfComplete();
+        if (!complete && !mustPauseReading() && source != null) {
+            source.resumeReading();
         }
     }
 
     /** Passes on what is not held. From then on the held part is of no use. */
-    private void pass() {
-        boolean any = false;
-        while (receiver != null && !beyond.isEmpty()) {
-            any = true;
-            receiver.part(beyond.poll());
+    private void writeOverflow() {
+        boolean anyWritten = false;
+        while (receiver != null && !overflow.isEmpty()) {
+            anyWritten = true;
+            receiver.write(overflow.poll());
         }
-        if (any && !spent) {
-            spent = true;
-            release();
+        if (anyWritten && !discarded) {
+            discarded = true;
+            releaseBuffer();
             if (source != null) {
-                source.spent();
+                source.bodyDiscarded();
             }
         }
     }
 
-    private void release() {
-        budget.release(reserved);
-        reserved = 0;
-        held = new byte[0];
-        size = 0;
+    private void releaseBuffer() {
+        budget.release(reservedBytes);
+        reservedBytes = 0;
+        buffer = new byte[0];
+        bufferedBytes = 0;
     }
 
     /** Lets go of all of it: it will not be sent any more. */
     void drop() {
         dropped = true;
         receiver = null;
-        beyond.forEach(ByteBuf::release);
-        beyond.clear();
-        release();
+        overflow.forEach(ByteBuf::release);
+        overflow.clear();
+        releaseBuffer();
     }
 
     /** How many bytes are held. */
-    int size() {
-        return size;
+    int bufferedBytes() {
+        return bufferedBytes;
     }
 
     /** What is held, where that is all of it. */
-    byte[] bytes() {
-        return Arrays.copyOf(held, size);
+    byte[] bufferedContent() {
+        return Arrays.copyOf(buffer, bufferedBytes);
     }
 }
--- a/src/main/java/passhatch/proxy/RequestReader.java
+++ b/src/main/java/passhatch/proxy/RequestReader.java
@@ -93,7 +93,7 @@
 
     /** Whether buffered bytes of the body must be forwarded before more may be read. */
     boolean isBodyFull() {
-        return current != null && current.body().isFull();
+        return current != null && current.body().mustPauseReading();
     }
 
     /** Releases the buffers of an incomplete request. */
--- a/src/main/java/passhatch/proxy/AnswerDecoder.java
+++ b/src/main/java/passhatch/proxy/ResponseDecoder.java
@@ -5,13 +5,13 @@
 import io.netty.util.AsciiString;
 
 /** Netty's decoder of answers, held to the letter where it is lenient. */
-final class AnswerDecoder extends HttpResponseDecoder {
+final class ResponseDecoder extends HttpResponseDecoder {
 
-    private static final int MOST_PART = 1 << 15;
+    private static final int MAX_CHUNK_BYTES = 1 << 15;
 
     /** A decoder that hands bodies on in parts as large as they are read. */
-    AnswerDecoder() {
-        super(new HttpDecoderConfig().setMaxChunkSize(MOST_PART));
+    ResponseDecoder() {
+        super(new HttpDecoderConfig().setMaxChunkSize(MAX_CHUNK_BYTES));
     }
 
     /**
@@ -27,7 +27,7 @@
     }
 
     /** Whether bytes have come in that are no part of any answer yet. */
-    boolean holdsMore() {
+    boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
 }
--- a/src/main/java/passhatch/proxy/AnswerStream.java
+++ b/src/main/java/passhatch/proxy/ResponseStream.java
@@ -18,45 +18,46 @@
  * An answer that is passed on to its client as it comes. On a connection with several requests it waits for
  * the answers before it; until its turn comes it is not writable, so its backend is not read on.
  */
-final class AnswerStream implements BackendPool.AnswerSink {
+final class ResponseStream implements BackendPool.AnswerSink {
 
     /** The connection's side. */
     interface Owner {
         /** Its last byte is in. */
-        void ended();
+        void streamCompleted();
 
         /** It will not come to its end, and nothing of it has been written. */
-        void brokenBeforeItsTurn();
+        void streamFailedBeforeStart();
 
         /** It will not come to its end: the connection has to end as well, or the client would wait. */
-        void broken();
+        void streamFailed();
     }
 
     private final Channel channel;
     private final HttpVersion version;
-    private final long length;
-    private final Runnable readOn;
+    private final long contentLength;
+    private final Runnable resumeReading;
     private final Owner owner;
     /** What has come before its turn has: no more than one read brings. */
-    private final ArrayDeque<ByteBuf> early = new ArrayDeque<>();
-    private boolean begun;
+    private final ArrayDeque<ByteBuf> pendingParts = new ArrayDeque<>();
+    private boolean started;
     private boolean ended;
-    private boolean broken;
+    private boolean failed;
     private boolean released;
-    private boolean keepsAlive;
+    private boolean keepAlive;
 
     /**
      * A stream whose turn has not come.
      *
      * @param version of the client: one of 1.0 knows no chunks
-     * @param length of the answer, or -1
-     * @param readOn has the backend read on after this was not writable
+     * @param contentLength of the answer, or -1
+     * @param resumeReading has the backend read on after this was not writable
      */
-    AnswerStream(Channel channel, HttpVersion version, long length, Runnable readOn, Owner owner) {
+    ResponseStream(Channel channel, HttpVersion version, long contentLength, Runnable resumeReading,
+            Owner owner) {
         this.channel = channel;
         this.version = version;
-        this.length = length;
-        this.readOn = readOn;
+        this.contentLength = contentLength;
+        this.resumeReading = resumeReading;
         this.owner = owner;
     }
 
@@ -64,42 +65,42 @@
     public void part(ByteBuf bytes) {
         if (released) {
             bytes.release();
-        } else if (begun) {
+        } else if (started) {
             channel.writeAndFlush(new DefaultHttpContent(bytes));
         } else {
-            early.add(bytes);
+            pendingParts.add(bytes);
         }
     }
 
     @Override
     public boolean isWritable() {
-        return begun && channel.isWritable();
+        return started && channel.isWritable();
     }
 
     @Override
     public void end() {
         ended = true;
-        owner.ended();
+        owner.streamCompleted();
     }
 
     /** The client can tell: the length, or the last chunk, is missing, or the connection is reset. */
     @Override
     public void broken() {
-        broken = true;
+        failed = true;
         ended = true;
-        if (!begun) {
+        if (!started) {
             release();
-            owner.brokenBeforeItsTurn();
+            owner.streamFailedBeforeStart();
             return;
         }
         if (!isFramed()) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         }
-        owner.broken();
+        owner.streamFailed();
     }
 
-    boolean isBegun() {
-        return begun;
+    boolean isStarted() {
+        return started;
     }
 
     boolean isEnded() {
@@ -107,62 +108,62 @@
     }
 
     /** Whether all of it is in, with nothing lost. */
-    boolean isWhole() {
-        return ended && !broken && !released;
+    boolean isComplete() {
+        return ended && !failed && !released;
     }
 
     /** Whether its connection may carry another answer. */
-    boolean keepsAlive() {
-        return keepsAlive;
+    boolean isKeepAlive() {
+        return keepAlive;
     }
 
     private boolean isFramed() {
-        return length >= 0 || isChunked();
+        return contentLength >= 0 || isChunked();
     }
 
     private boolean isChunked() {
-        return length < 0 && version.equals(HttpVersion.HTTP_1_1);
+        return contentLength < 0 && version.equals(HttpVersion.HTTP_1_1);
     }
 
     /** Its turn has come; once it has, nothing more happens. */
-    void begin(boolean mayKeepAlive) {
-        if (begun) {
+    void start(boolean mayKeepAlive) {
+        if (started) {
             return;
         }
-        begun = true;
+        started = true;
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        if (length >= 0) {
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
+        if (contentLength >= 0) {
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, contentLength);
         } else if (isChunked()) {
             response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        keepsAlive = isFramed() && mayKeepAlive;
-        if (!keepsAlive) {
+        keepAlive = isFramed() && mayKeepAlive;
+        if (!keepAlive) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         channel.write(response);
-        while (!early.isEmpty()) {
-            channel.write(new DefaultHttpContent(early.poll()));
+        while (!pendingParts.isEmpty()) {
+            channel.write(new DefaultHttpContent(pendingParts.poll()));
         }
         channel.flush();
-        writable();
+        resumeIfWritable();
     }
 
     /** The connection may be able to take more. */
-    void writable() {
+    void resumeIfWritable() {
         if (isWritable() && !ended) {
-            readOn.run();
+            resumeReading.run();
         }
     }
 
     /** Writes its end. */
-    ChannelFuture finish() {
+    ChannelFuture writeLastContent() {
         return channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
     void release() {
         released = true;
-        early.forEach(ByteBuf::release);
-        early.clear();
+        pendingParts.forEach(ByteBuf::release);
+        pendingParts.clear();
     }
 }
--- a/src/test/java/passhatch/proxy/BadClientsTest.java
+++ b/src/test/java/passhatch/proxy/BadClientsTest.java
@@ -184,7 +184,7 @@
     /** Connections without a request are evicted; one with an open or incomplete request never is. */
     @Test
     void silentConnectionsAreEvictedForNewClients() throws Exception {
-        rig.sockets(64);
+        rig.maxSockets(64);
         start();
         HttpTestConnection held = rig.client();
         held.write(Rig.get("held", ""));
@@ -200,7 +200,7 @@
     /** If kept alive, the connections would use up the maximum, and new clients could not connect. */
     @Test
     void keepAliveEndsWhenManyClientsAreConnected() throws Exception {
-        rig.sockets(80);
+        rig.maxSockets(80);
         start();
         int closedConnections = 0;
         for (int i = 0; i < 60; i++) {
--- a/src/test/java/passhatch/proxy/ClosingConnectionsTest.java
+++ b/src/test/java/passhatch/proxy/ClosingConnectionsTest.java
@@ -85,7 +85,7 @@
      */
     @Test
     void requestsReadAheadAreAnsweredBeforeConnectionCloses() throws Exception {
-        rig.sockets(48);
+        rig.maxSockets(48);
         start();
         List<HttpTestConnection> otherClients = List.of(connectAndCheckReady(), connectAndCheckReady());
         HttpTestConnection client = rig.client();
@@ -136,11 +136,11 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void requestArrivingDuringIdleCloseIsServed(boolean arrivesBeforeTimers) throws Exception {
-        rig.standStill();
+        rig.freezeClock();
         start();
         HttpTestConnection client = connectAndCheckReady();
         onModuleTimer = () -> {
-            rig.pass(20_000);
+            rig.advanceClock(20_000);
             try {
                 client.write(Rig.get("a", ""));
             } catch (IOException broken) {
@@ -170,7 +170,7 @@
     @CsvSource({"true, 3", "true, 0", "false, 3"})
     void requestsArrivingDuringShutdownAreAnswered(boolean keptSendsRequest, int newConnections)
             throws Exception {
-        rig.replace("\"deadlineUs\":10000000", "\"deadlineUs\":300000");
+        rig.replaceInConfig("\"deadlineUs\":10000000", "\"deadlineUs\":300000");
         start();
         HttpTestConnection kept = connectAndCheckReady();
         rig.proxy().shutDown();
@@ -202,7 +202,7 @@
      */
     @Test
     void newConnectionMaySendItsRequestDuringShutdown() throws Exception {
-        rig.standStill().replace("\"deadlineUs\":10000000", "\"deadlineUs\":300000");
+        rig.freezeClock().replaceInConfig("\"deadlineUs\":10000000", "\"deadlineUs\":300000");
         start();
         rig.proxy().shutDown();
         rig.awaitLog("shutting down");
@@ -210,7 +210,7 @@
         rig.awaitLog("the last connections are waited for");
         newClient.write(Rig.get("fresh", ""));
         assertEquals(503, newClient.read().status());
-        rig.pass(1_000);
+        rig.advanceClock(1_000);
         assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
     }
 }
--- a/src/test/java/passhatch/proxy/ConsoleTest.java
+++ b/src/test/java/passhatch/proxy/ConsoleTest.java
@@ -230,8 +230,8 @@
         assertEquals(200, status("POST /control/backends/a/offline"));
         assertEquals(1, counters().get("targets_disabled"));
         ScriptedServer moved = ScriptedServer.saying("moved");
-        rig.lines.add(Rig.list(9, false, Rig.entry("a", a.address(), "DELETED")));
-        rig.lines.add(Rig.list(10, true, Rig.entry("a", moved.address(), "SERVING"),
+        rig.discoveryLines.add(Rig.list(9, false, Rig.entry("a", a.address(), "DELETED")));
+        rig.discoveryLines.add(Rig.list(10, true, Rig.entry("a", moved.address(), "SERVING"),
                 Rig.entry("b", b.address(), "SERVING"), Rig.entry("c", b.address(), "DRAINING")));
         awaitFigure("targets", 3);
         for (int i = 0; i < 10; i++) {
--- a/src/test/java/passhatch/proxy/DescriptorsTest.java
+++ b/src/test/java/passhatch/proxy/DescriptorsTest.java
@@ -58,7 +58,7 @@
                     connection.reset();
                 }
             });
-            rig.sockets(MOST);
+            rig.maxSockets(MOST);
             try (ProxyProcess proxy = new ProxyProcess(environment(rig, discovery),
                     ProxyProcess.freeAddress(), MOST)) {
                 proxy.awaitReady();
--- a/src/test/java/passhatch/proxy/DiscoveryTest.java
+++ b/src/test/java/passhatch/proxy/DiscoveryTest.java
@@ -57,9 +57,9 @@
         ScriptedServer a = saying("a");
         rig.start(indented(up("s", a)).strip());
         assertEquals("a", rig.call(Rig.get("r", "")).text());
-        rig.lines.add(indented(Rig.list(9, false, Rig.entry("s", a.address(), "DELETED"),
+        rig.discoveryLines.add(indented(Rig.list(9, false, Rig.entry("s", a.address(), "DELETED"),
                 up("t", saying("b")))));
-        rig.lines.add(Rig.END_OF_WATCH);
+        rig.discoveryLines.add(Rig.END_OF_WATCH);
         assertTrue(rig.discovery().next().startLine().contains("from=7"));
         assertTrue(rig.discovery().next().startLine().contains("from=9"), "all of it counts as heard");
         assertEquals("b", rig.call(Rig.get("q", "")).text());
@@ -68,9 +68,9 @@
     @Test
     void aWholeListMayBeIndented() throws Exception {
         rig.start(up("s", saying("a")));
-        rig.lines.add(Rig.END_OF_WATCH);
-        rig.lines.add(Rig.FORGOTTEN);
-        rig.lines.add(indented(Rig.list(40, true, up("t", saying("b")))));
+        rig.discoveryLines.add(Rig.END_OF_WATCH);
+        rig.discoveryLines.add(Rig.EXPIRED_VERSION);
+        rig.discoveryLines.add(indented(Rig.list(40, true, up("t", saying("b")))));
         assertTrue(rig.discovery().next().startLine().contains("from=7"));
         assertTrue(rig.discovery().next().startLine().contains("from=8"));
         assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().startLine());
@@ -94,7 +94,7 @@
                 connection.write("\r\n");
             }
         })) {
-            rig.startAt(inPieces.address());
+            rig.startWithDiscovery(inPieces.address());
             assertEquals("a", rig.call(Rig.get("r", "")).text());
         }
     }
@@ -105,7 +105,7 @@
         ScriptedServer backend = saying("a");
         rig.start(up("s", backend));
         assertEquals("a", rig.call(Rig.get("r", "")).text());
-        rig.lines.add(Rig.list(9, false, up("s", backend).replace("\"since_ms\":0",
+        rig.discoveryLines.add(Rig.list(9, false, up("s", backend).replace("\"since_ms\":0",
                 "\"since_ms\":1600000000000")));
         backend.awaitEnded();
         assertEquals("a", rig.call(Rig.get("q", "")).text());
@@ -139,7 +139,7 @@
                 connection.write(first);
             }
         })) {
-            rig.startAt(discovery.address());
+            rig.startWithDiscovery(discovery.address());
             assertEquals(2, calls.get());
             assertEquals("a", rig.call(Rig.get("r", "")).text());
         } finally {
@@ -164,7 +164,7 @@
                     + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
             calls.add(System.nanoTime());
         })) {
-            rig.startAt(discovery.address());
+            rig.startWithDiscovery(discovery.address());
             long silentFrom = calls.take();
             assertTrue(calls.take() - silentFrom < 4_400_000_000L);
         }
@@ -186,8 +186,8 @@
         HttpTestConnection open = rig.client();
         open.write(Rig.post("/move", "open", ""));
         a.next();
-        rig.lines.add(Rig.END_OF_WATCH);
-        rig.lines.add(Rig.list(9, true, up("t", b)));
+        rig.discoveryLines.add(Rig.END_OF_WATCH);
+        rig.discoveryLines.add(Rig.list(9, true, up("t", b)));
         for (int i = 0; b.received.isEmpty(); i++) {
             rig.call(Rig.post("/move", "m" + i, "X-Deadline: 100m\r\n"));
         }
@@ -196,7 +196,7 @@
         finish.countDown();
         assertEquals("a", open.read().text());
         assertEquals(before, a.received.size());
-        rig.lines.add(Rig.list(10, false, up("s", a), Rig.entry("t", b.address(), "DELETED")));
+        rig.discoveryLines.add(Rig.list(10, false, up("s", a), Rig.entry("t", b.address(), "DELETED")));
         for (String text = "b"; !text.equals("a");) {
             text = rig.call(Rig.post("/move", "back" + System.nanoTime(), "")).text();
         }
@@ -208,8 +208,8 @@
      */
     @Test
     void afterAFailedCallAnotherIsMadeInTimeWhateverTheModuleAsks() throws Exception {
-        rig.replace("\"pushed\"", "\"on_request\"")
-                .replace("\"drainGraceUs\"", "\"askEveryUs\":10000000,\"drainGraceUs\"")
+        rig.replaceInConfig("\"pushed\"", "\"on_request\"")
+                .replaceInConfig("\"drainGraceUs\"", "\"askEveryUs\":10000000,\"drainGraceUs\"")
                 .module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
                     if (args[args.length - 1] instanceof List<?>) {
                         actions.watchServers();
@@ -227,7 +227,7 @@
                         + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
             }
         })) {
-            rig.startAt(discovery.address());
+            rig.startWithDiscovery(discovery.address());
             assertEquals(4, calls.get());
             assertEquals(4, discovery.connections.get(), "one call at a time");
         }
@@ -237,9 +237,9 @@
     @Test
     void aKnownListOfVersionZeroIsWatchedFromThere() throws Exception {
         ScriptedServer backend = saying("a");
-        rig.replace("\"index\":7", "\"index\":0")
-                .replace("\"endpoints\":[]", "\"endpoints\":[" + up("s", backend) + "]");
-        rig.lines.add(Rig.list(0, false));
+        rig.replaceInConfig("\"index\":7", "\"index\":0")
+                .replaceInConfig("\"endpoints\":[]", "\"endpoints\":[" + up("s", backend) + "]");
+        rig.discoveryLines.add(Rig.list(0, false));
         rig.startWithoutList(rig.discovery().address());
         assertTrue(rig.discovery().next().startLine().contains("watch=1&from=0"));
         Rig.awaitReady(rig.proxy().address());
@@ -253,8 +253,8 @@
     @Test
     void refusedCallsFollowEachOtherLaterEachTime() throws Exception {
         int count = 9;
-        rig.replace("\"pushed\"", "\"on_request\"")
-                .replace("\"drainGraceUs\"", "\"askEveryUs\":10000000,\"drainGraceUs\"");
+        rig.replaceInConfig("\"pushed\"", "\"on_request\"")
+                .replaceInConfig("\"drainGraceUs\"", "\"askEveryUs\":10000000,\"drainGraceUs\"");
         BlockingQueue<Long> calls = new LinkedBlockingQueue<>();
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
             calls.add(System.nanoTime());
--- a/src/test/java/passhatch/proxy/LargeBodiesTest.java
+++ b/src/test/java/passhatch/proxy/LargeBodiesTest.java
@@ -37,18 +37,18 @@
 @Timeout(90)
 final class LargeBodiesTest {
 
-    private static final int LARGE = 5_000_000;
+    private static final int LARGE_BYTES = 5_000_000;
 
     @TempDir
     Path folder;
-    private final byte[] bytes = new byte[LARGE];
-    private final BlockingQueue<byte[]> bodies = new LinkedBlockingQueue<>();
+    private final byte[] content = new byte[LARGE_BYTES];
+    private final BlockingQueue<byte[]> receivedBodies = new LinkedBlockingQueue<>();
     private Rig rig;
 
     @BeforeEach
     void setUp() throws IOException {
         rig = new Rig(folder);
-        new Random(3).nextBytes(bytes);
+        new Random(3).nextBytes(content);
     }
 
     @AfterEach
@@ -61,12 +61,12 @@
         return readBody(from, false);
     }
 
-    private static byte[] readAnswer(HttpTestConnection from) throws IOException {
+    private static byte[] readResponse(HttpTestConnection from) throws IOException {
         return readBody(from, true);
     }
 
     /** Reads headers and then the body as they say; only an answer may end with its connection. */
-    private static byte[] readBody(HttpTestConnection from, boolean answer) throws IOException {
+    private static byte[] readBody(HttpTestConnection from, boolean isResponse) throws IOException {
         long length = -1;
         boolean chunked = false;
         for (String line = from.readLine(); line != null && !line.isEmpty(); line = from.readLine()) {
@@ -77,11 +77,11 @@
             chunked |= lower.equals("transfer-encoding: chunked");
         }
         if (!chunked && length < 0) {
-            return answer ? from.input().readAllBytes() : new byte[0];
+            return isResponse ? from.input().readAllBytes() : new byte[0];
         }
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         if (!chunked) {
-            body.write(exactly(from, (int) length));
+            body.write(readExactly(from, (int) length));
             return body.toByteArray();
         }
         while (true) {
@@ -90,7 +90,7 @@
                 throw new EOFException("no last chunk");
             }
             int size = Integer.parseInt(line.split(";")[0].strip(), 16);
-            body.write(exactly(from, size));
+            body.write(readExactly(from, size));
             if (size == 0) {
                 for (String trailer = from.readLine(); trailer != null && !trailer.isEmpty();) {
                     trailer = from.readLine();
@@ -101,12 +101,12 @@
         }
     }
 
-    private static byte[] exactly(HttpTestConnection from, int size) throws IOException {
-        byte[] got = from.input().readNBytes(size);
-        if (got.length < size) {
-            throw new EOFException("cut off after " + got.length);
+    private static byte[] readExactly(HttpTestConnection from, int size) throws IOException {
+        byte[] read = from.input().readNBytes(size);
+        if (read.length < size) {
+            throw new EOFException("cut off after " + read.length);
         }
-        return got;
+        return read;
     }
 
     /** Does something with a connection whose request's first line has been read. */
@@ -143,9 +143,9 @@
         return Rig.entry(name, (InetSocketAddress) backend.getLocalSocketAddress(), "SERVING");
     }
 
-    private ServerSocket taking() throws IOException {
+    private ServerSocket backendThatReadsBodies() throws IOException {
         return backend((connection, start) -> {
-            bodies.add(readBody(connection));
+            receivedBodies.add(readBody(connection));
             connection.respond("200 OK", "taken");
         });
     }
@@ -160,81 +160,82 @@
         return client;
     }
 
-    private static void chunk(HttpTestConnection to, byte[] from, int at, int size, String extension)
+    private static void writeChunk(HttpTestConnection connection, byte[] source, int offset, int size,
+            String extension)
             throws IOException {
-        to.write(Integer.toHexString(size) + extension + "\r\n");
-        to.write(Arrays.copyOfRange(from, at, at + size));
-        to.write("\r\n");
+        connection.write(Integer.toHexString(size) + extension + "\r\n");
+        connection.write(Arrays.copyOfRange(source, offset, offset + size));
+        connection.write("\r\n");
     }
 
     private byte[] nextBody() throws InterruptedException {
-        return bodies.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        return receivedBodies.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     @Test
-    void aLongBodyArrivesUnchanged() throws Exception {
-        rig.start(up("s", taking()));
-        HttpTestConnection client = post("/move", "Content-Length: " + LARGE + "\r\n");
-        client.write(bytes);
+    void forwardsALargeBodyUnchanged() throws Exception {
+        rig.start(up("s", backendThatReadsBodies()));
+        HttpTestConnection client = post("/move", "Content-Length: " + LARGE_BYTES + "\r\n");
+        client.write(content);
         assertEquals("taken", client.read().text());
-        assertArrayEquals(bytes, nextBody());
+        assertArrayEquals(content, nextBody());
         client.write(Rig.get("r2", ""));
         assertEquals("taken", client.read().text(), "the connection is used on");
     }
 
     /** Of no length that its head tells; with what chunks may carry. */
     @Test
-    void aLongBodyInChunksArrivesUnchanged() throws Exception {
-        rig.start(up("s", taking()));
+    void forwardsALargeChunkedBodyUnchanged() throws Exception {
+        rig.start(up("s", backendThatReadsBodies()));
         HttpTestConnection client = post("/move", "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n");
         assertEquals(100, client.read().status());
-        for (int at = 0; at < LARGE; at += 250_000) {
-            chunk(client, bytes, at, 250_000, ";name=value");
+        for (int offset = 0; offset < LARGE_BYTES; offset += 250_000) {
+            writeChunk(client, content, offset, 250_000, ";name=value");
         }
         client.write("0\r\nX-Trailer: t\r\n\r\n");
         assertEquals("taken", client.read().text());
-        assertArrayEquals(bytes, nextBody());
+        assertArrayEquals(content, nextBody());
     }
 
     /** The backend hears of a long body before it is whole, or it would have to be held. */
     @Test
-    void aLongBodyPassesThroughAsItComes() throws Exception {
-        CountDownLatch heard = new CountDownLatch(1);
+    void forwardsALargeBodyBeforeItIsComplete() throws Exception {
+        CountDownLatch requestReceived = new CountDownLatch(1);
         start((connection, start) -> {
-            heard.countDown();
-            bodies.add(readBody(connection));
+            requestReceived.countDown();
+            receivedBodies.add(readBody(connection));
             connection.respond("200 OK", "taken");
         });
-        HttpTestConnection client = post("/move", "Content-Length: " + LARGE + "\r\n");
-        client.write(Arrays.copyOf(bytes, LARGE - 1));
-        assertTrue(heard.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-        assertTrue(bodies.isEmpty());
-        client.write(new byte[] {bytes[LARGE - 1]});
+        HttpTestConnection client = post("/move", "Content-Length: " + LARGE_BYTES + "\r\n");
+        client.write(Arrays.copyOf(content, LARGE_BYTES - 1));
+        assertTrue(requestReceived.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertTrue(receivedBodies.isEmpty());
+        client.write(new byte[] {content[LARGE_BYTES - 1]});
         assertEquals("taken", client.read().text());
-        assertArrayEquals(bytes, nextBody());
+        assertArrayEquals(content, nextBody());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunks", "end"})
-    void aLongAnswerArrivesUnchanged(String framing) throws Exception {
+    void forwardsALargeResponseUnchanged(String framing) throws Exception {
         start((connection, start) -> {
             readBody(connection);
             switch (framing) {
                 case "length" -> {
                     connection.write("HTTP/1.1 103 Early Hints\r\n\r\n");
-                    connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n");
-                    connection.write(bytes);
+                    connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE_BYTES + "\r\n\r\n");
+                    connection.write(content);
                 }
                 case "chunks" -> {
                     connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                    for (int at = 0; at < LARGE; at += 100_000) {
-                        chunk(connection, bytes, at, 100_000, "; e");
+                    for (int offset = 0; offset < LARGE_BYTES; offset += 100_000) {
+                        writeChunk(connection, content, offset, 100_000, "; e");
                     }
                     connection.write("0\r\nX-Trailer: t\r\n\r\n");
                 }
                 default -> {
                     connection.write("HTTP/1.1 200 OK\r\n\r\n");
-                    connection.write(bytes);
+                    connection.write(content);
                     connection.close();
                 }
             }
@@ -243,56 +244,56 @@
         for (int i = 0; i < 2; i++) {
             client.write(Rig.get("r" + i, ""));
             assertEquals("HTTP/1.1 200 OK", client.readLine());
-            assertArrayEquals(bytes, readAnswer(client));
+            assertArrayEquals(content, readResponse(client));
         }
     }
 
     /** A client of HTTP/1.0 knows no chunks: its answer ends with the connection. */
     @Test
-    void anOldClientGetsAnAnswerThatEndsWithItsConnection() throws Exception {
+    void sendsAnHttp10ClientAResponseThatEndsWithTheConnection() throws Exception {
         start((connection, start) -> {
             readBody(connection);
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            chunk(connection, bytes, 0, LARGE, "");
+            writeChunk(connection, content, 0, LARGE_BYTES, "");
             connection.write("0\r\n\r\n");
         });
         HttpTestConnection client = rig.client();
         client.write(Rig.get("r1", "").replace("HTTP/1.1", "HTTP/1.0"));
         client.readLine();
-        assertArrayEquals(bytes, readAnswer(client));
+        assertArrayEquals(content, readResponse(client));
     }
 
     /** All of it has come from the backend, but a slow client has not taken all of it yet. */
     @Test
-    void theEndOfTheProcessWaitsUntilALongAnswerIsTaken() throws Exception {
+    void shutdownWaitsUntilALargeResponseIsDelivered() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
-        int much = 24 << 20;
+        int totalBytes = 24 << 20;
         rig.console("127.0.0.1:0");
         start((connection, start) -> {
             readBody(connection);
-            connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + much + "\r\n\r\n");
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + totalBytes + "\r\n\r\n");
             byte[] part = new byte[1 << 16];
-            for (int i = 0; i < much / part.length; i++) {
+            for (int i = 0; i < totalBytes / part.length; i++) {
                 connection.write(part);
             }
             written.countDown();
         });
-        HttpTestConnection client = new HttpTestConnection(unreadySocket());
+        HttpTestConnection client = new HttpTestConnection(socketWithSmallReceiveBuffer());
         client.write(Rig.get("r1", ""));
         for (String line = client.readLine(); !line.isEmpty();) {
             line = client.readLine();
         }
-        int got = 0;
+        int readBytes = 0;
         while (written.getCount() > 0) {
-            got += exactly(client, 1 << 10).length;
+            readBytes += readExactly(client, 1 << 10).length;
         }
         while (!counters().contains("edge_proxy.concurrent=0")) {
-            got += exactly(client, 1 << 11).length;
+            readBytes += readExactly(client, 1 << 11).length;
         }
-        HttpTestConnection unused = rig.client();
+        HttpTestConnection idleClient = rig.client();
         rig.proxy().shutDown();
-        assertNull(unused.read(), "idle connections are closed");
-        assertEquals(much - got, client.input().readNBytes(much - got).length);
+        assertNull(idleClient.read(), "idle connections are closed");
+        assertEquals(totalBytes - readBytes, client.input().readNBytes(totalBytes - readBytes).length);
         assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
         client.close();
     }
@@ -307,13 +308,13 @@
     /** Its first bytes are passed on while the rest has yet to come. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
-    void theFirstBytesOfALongAnswerDoNotWaitForTheLast(String framing) throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+    void forwardsTheFirstBytesOfAResponseBeforeTheLast(String framing) throws Exception {
+        CountDownLatch firstByteRead = new CountDownLatch(1);
         boolean chunked = framing.startsWith("T");
         start((connection, start) -> {
             readBody(connection);
             connection.write("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (chunked ? "1\r\na\r\n" : "a"));
-            seen.await();
+            firstByteRead.await();
             connection.write(chunked ? "1\r\nb\r\n0\r\n\r\n" : "b".repeat(99_999));
         });
         HttpTestConnection client = rig.client();
@@ -327,39 +328,39 @@
             assertEquals("1", client.readLine());
         }
         assertEquals('a', client.input().read());
-        seen.countDown();
+        firstByteRead.countDown();
         assertEquals('b', client.input().readNBytes(chunked ? 6 : 1)[chunked ? 5 : 0]);
     }
 
     /** Where a client reads nothing, its backend is not read either: memory does not grow with the answer. */
     @Test
-    void aClientThatDoesNotReadHoldsItsBackendBack() throws Exception {
+    void aClientThatDoesNotReadPausesItsBackend() throws Exception {
         AtomicLong written = new AtomicLong();
-        int much = 32 << 20;
+        int totalBytes = 32 << 20;
         byte[] part = new byte[1 << 16];
         start((connection, start) -> {
             readBody(connection);
-            connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + much + "\r\n\r\n");
-            for (int i = 0; i < much / part.length; i++) {
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + totalBytes + "\r\n\r\n");
+            for (int i = 0; i < totalBytes / part.length; i++) {
                 connection.write(part);
                 written.addAndGet(part.length);
             }
         });
-        HttpTestConnection client = new HttpTestConnection(unreadySocket());
+        HttpTestConnection client = new HttpTestConnection(socketWithSmallReceiveBuffer());
         client.write(Rig.get("r1", ""));
-        long before = -1;
-        while (written.get() != before || before <= 0) {
-            before = written.get();
+        long lastWritten = -1;
+        while (written.get() != lastWritten || lastWritten <= 0) {
+            lastWritten = written.get();
             Thread.sleep(300);
         }
-        assertTrue(before < much, "all of it was taken though nobody reads");
+        assertTrue(lastWritten < totalBytes, "all of it was taken though nobody reads");
         client.readLine();
-        assertEquals(much, readAnswer(client).length);
+        assertEquals(totalBytes, readResponse(client).length);
         client.close();
     }
 
     /** A connection with little room of its own, to the proxy. */
-    private Socket unreadySocket() throws IOException {
+    private Socket socketWithSmallReceiveBuffer() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(1 << 14);
         socket.connect(rig.proxy().address());
@@ -367,38 +368,38 @@
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleFreesItsBackend() throws Exception {
-        CountDownLatch broken = new CountDownLatch(1);
+    void aClientThatDisconnectsMidResponseReleasesItsBackend() throws Exception {
+        CountDownLatch backendDisconnected = new CountDownLatch(1);
         start((connection, start) -> {
             readBody(connection);
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             try {
                 while (true) {
-                    chunk(connection, bytes, 0, 100_000, "");
+                    writeChunk(connection, content, 0, 100_000, "");
                 }
             } catch (IOException closed) {
-                broken.countDown();
+                backendDisconnected.countDown();
             }
         });
         HttpTestConnection client = rig.client();
         client.write(Rig.get("r1", ""));
         client.readLine();
         client.reset();
-        assertTrue(broken.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertTrue(backendDisconnected.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /** The client can tell that it is not whole, however it was framed. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 5000000", "Transfer-Encoding: chunked", "X-None: 1"})
-    void anAnswerThatBreaksOffIsSeenAsSuch(String framing) throws Exception {
-        Behaviour breaking = (connection, start) -> {
-            bodies.add(bytes);
+    void clientsCanTellThatAResponseIsTruncated(String framing) throws Exception {
+        Behaviour resetting = (connection, start) -> {
+            receivedBodies.add(content);
             readBody(connection);
             connection.write("HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
             if (framing.startsWith("T")) {
-                chunk(connection, bytes, 0, 100_000, "");
+                writeChunk(connection, content, 0, 100_000, "");
             } else {
-                connection.write(Arrays.copyOf(bytes, 100_000));
+                connection.write(Arrays.copyOf(content, 100_000));
             }
             if (framing.startsWith("X")) {
                 // What has not been read yet may be lost with a reset.
@@ -406,98 +407,99 @@
             }
             connection.reset();
         };
-        rig.start(up("s", backend(breaking)), up("t", backend(breaking)));
+        rig.start(up("s", backend(resetting)), up("t", backend(resetting)));
         HttpTestConnection client = rig.client();
         client.write(Rig.get("r1", ""));
         client.readLine();
-        assertThrows(IOException.class, () -> readAnswer(client));
-        assertEquals(1, bodies.size(), "once bytes went out nothing is repeated");
+        assertThrows(IOException.class, () -> readResponse(client));
+        assertEquals(1, receivedBodies.size(), "once bytes went out nothing is repeated");
     }
 
     /** While what went out is held, a failed attempt says nothing against another. */
     @Test
-    void aLongBodyGoesToAnotherBackendWhereTheFirstCannotBeReached() throws Exception {
-        ServerSocket down = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        down.close();
-        ServerSocket good = taking();
-        rig.start(up("a", good), Rig.entry("b", new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                down.getLocalPort()), "SERVING"));
+    void retriesALargeBodyIfTheFirstBackendIsUnreachable() throws Exception {
+        ServerSocket unreachable = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        unreachable.close();
+        ServerSocket reachable = backendThatReadsBodies();
+        rig.start(up("a", reachable), Rig.entry("b", new InetSocketAddress(InetAddress.getLoopbackAddress(),
+                unreachable.getLocalPort()), "SERVING"));
         for (int i = 0; i < 4; i++) {
             HttpTestConnection client = rig.client();
             client.write("POST /move HTTP/1.1\r\nHost: p\r\nX-Request-Id: r" + i + "\r\nContent-Length: "
-                    + LARGE + "\r\n\r\n");
-            client.write(bytes);
+                    + LARGE_BYTES + "\r\n\r\n");
+            client.write(content);
             assertEquals("taken", client.read().text());
-            assertArrayEquals(bytes, nextBody());
+            assertArrayEquals(content, nextBody());
         }
     }
 
     /** The rest of the body is gone by then: another backend could only get a part of it. */
     @Test
-    void aLongBodyThatIsNotHeldAnyMoreIsNotRepeated() throws Exception {
-        Behaviour breaking = (connection, start) -> {
-            exactly(connection, 300_000);
-            bodies.add(bytes);
+    void doesNotRetryALargeBodyThatIsNoLongerBuffered() throws Exception {
+        Behaviour resetting = (connection, start) -> {
+            readExactly(connection, 300_000);
+            receivedBodies.add(content);
             connection.reset();
         };
-        rig.start(up("a", backend(breaking)), up("b", backend(breaking)));
-        HttpTestConnection client = post("/buy", "Idempotency-Key: k\r\nContent-Length: " + LARGE + "\r\n");
+        rig.start(up("a", backend(resetting)), up("b", backend(resetting)));
+        HttpTestConnection client =
+                post("/buy", "Idempotency-Key: k\r\nContent-Length: " + LARGE_BYTES + "\r\n");
         ScriptedServer.daemon(() -> {
             try {
-                client.write(bytes);
+                client.write(content);
             } catch (IOException closed) {
                 // It need not take the rest.
             }
         });
-        Message answer = client.read();
-        assertTrue(answer.status() >= 500, answer.startLine());
-        assertEquals("close", answer.header("Connection"), "the rest of the request is not wanted");
-        assertEquals(1, bodies.size());
+        Message response = client.read();
+        assertTrue(response.status() >= 500, response.startLine());
+        assertEquals("close", response.header("Connection"), "the rest of the request is not wanted");
+        assertEquals(1, receivedBodies.size());
     }
 
     /** A backend may answer before it has all: that is its answer, and nothing waits for the rest. */
     @Test
-    void anAnswerThatComesBeforeTheBodyIsWholeIsPassedOn() throws Exception {
+    void forwardsAnErrorResponseThatPrecedesTheEndOfTheBody() throws Exception {
         start((connection, start) -> connection.write("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n"
                 + "Content-Length: 0\r\n\r\n"));
-        HttpTestConnection client = post("/move", "Content-Length: " + LARGE + "\r\n");
-        client.write(Arrays.copyOf(bytes, 200_000));
+        HttpTestConnection client = post("/move", "Content-Length: " + LARGE_BYTES + "\r\n");
+        client.write(Arrays.copyOf(content, 200_000));
         assertEquals(503, client.read().status());
     }
 
     /** A backend starts on a request when it has all of it: nobody knows whose answer that is. */
     @Test
-    void aGoodAnswerThatComesBeforeTheBodyIsWholeIsNone() throws Exception {
+    void discardsAnOkResponseThatPrecedesTheEndOfTheBody() throws Exception {
         start((connection, start) -> connection.respond("200 OK", "another's"));
-        HttpTestConnection client = post("/move", "Content-Length: " + LARGE + "\r\n");
-        client.write(Arrays.copyOf(bytes, 200_000));
+        HttpTestConnection client = post("/move", "Content-Length: " + LARGE_BYTES + "\r\n");
+        client.write(Arrays.copyOf(content, 200_000));
         assertEquals(502, client.read().status());
     }
 
     /** It can never be whole, so it may be called off where the settings do not allow that for others. */
     @Test
-    void anUploadWhoseClientLeavesEndsAtItsBackendToo() throws Exception {
-        CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch ended = new CountDownLatch(1);
+    void cancelsAnUploadWhoseClientDisconnects() throws Exception {
+        CountDownLatch uploadStarted = new CountDownLatch(1);
+        CountDownLatch uploadEnded = new CountDownLatch(1);
         rig.limit("cancel", false);
         start((connection, start) -> {
-            begun.countDown();
+            uploadStarted.countDown();
             try {
                 connection.input().readAllBytes();
             } finally {
-                ended.countDown();
+                uploadEnded.countDown();
             }
         });
-        HttpTestConnection client = post("/move", "Content-Length: " + LARGE + "\r\n");
-        client.write(Arrays.copyOf(bytes, 200_000));
-        assertTrue(begun.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        HttpTestConnection client = post("/move", "Content-Length: " + LARGE_BYTES + "\r\n");
+        client.write(Arrays.copyOf(content, 200_000));
+        assertTrue(uploadStarted.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         client.close();
-        assertTrue(ended.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertTrue(uploadEnded.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
     /** Some bytes come ever again, so no stall shows; its request has its deadline all the same. */
     @Test
-    void anAnswerThatDripsOnIsBrokenOffAtItsDeadline() throws Exception {
+    void abortsASlowTrickledResponseAtItsDeadline() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
         start((connection, start) -> {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -506,20 +508,20 @@
             }
         });
         HttpTestConnection client = post("/move", "Content-Length: 0\r\nX-Deadline: 900m\r\n");
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        long patienceEndsNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
-        int b = client.input().read();
-        for (; b >= 0 && System.nanoTime() < patienceEndsNs; b = client.input().read()) {
-            all.write(b);
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        long giveUpAtNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
+        int nextByte = client.input().read();
+        for (; nextByte >= 0 && System.nanoTime() < giveUpAtNs; nextByte = client.input().read()) {
+            received.write(nextByte);
         }
         over.countDown();
-        assertEquals(-1, b, "it was not broken off");
-        String text = all.toString(StandardCharsets.US_ASCII);
+        assertEquals(-1, nextByte, "it was not broken off");
+        String text = received.toString(StandardCharsets.US_ASCII);
         assertTrue(text.startsWith("HTTP/1.1 200 ") && !text.contains("\r\n0\r\n"), text);
     }
 
     @Test
-    void anAnswerThatRunsOnIsBrokenOffAtTheMostItMayHold() throws Exception {
+    void abortsAnEndlessResponseAtTheSizeLimit() throws Exception {
         byte[] chunk = ("4000\r\n" + "x".repeat(1 << 14) + "\r\n").getBytes(StandardCharsets.US_ASCII);
         start((connection, start) -> {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -528,57 +530,58 @@
             }
         });
         HttpTestConnection client = post("/move", "Content-Length: 0\r\n");
-        long got = 0;
-        byte[] some = new byte[1 << 16];
-        for (int n = client.input().read(some); n >= 0 && got < 40L << 20; n = client.input().read(some)) {
-            got += n;
+        long receivedBytes = 0;
+        byte[] buffer = new byte[1 << 16];
+        for (int count = client.input().read(buffer); count >= 0
+                && receivedBytes < 40L << 20; count = client.input().read(buffer)) {
+            receivedBytes += count;
         }
-        assertTrue(got < 40L << 20);
+        assertTrue(receivedBytes < 40L << 20);
     }
 
     @Test
-    void malformedChunksInALongBodyEndItEverywhere() throws Exception {
-        CountDownLatch cut = new CountDownLatch(1);
+    void malformedChunksAbortTheRequestAtClientAndBackend() throws Exception {
+        CountDownLatch bodyTruncated = new CountDownLatch(1);
         start((connection, start) -> {
             try {
                 readBody(connection);
-                bodies.add(bytes);
-            } catch (EOFException notWhole) {
-                cut.countDown();
+                receivedBodies.add(content);
+            } catch (EOFException truncated) {
+                bodyTruncated.countDown();
             }
         });
         HttpTestConnection client = post("/move", "Transfer-Encoding: chunked\r\n");
-        chunk(client, bytes, 0, 200_000, "");
+        writeChunk(client, content, 0, 200_000, "");
         client.write("zz\r\nGET /board/hidden HTTP/1.1\r\n\r\n");
         assertEquals(400, client.read().status());
         assertNull(client.read());
-        assertTrue(cut.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-        assertTrue(bodies.isEmpty());
+        assertTrue(bodyTruncated.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertTrue(receivedBodies.isEmpty());
     }
 
     /** Chunks tell no length beforehand. */
     @Test
-    void aBodyThatGrowsTooLargeNeverArrivesWhole() throws Exception {
-        CountDownLatch cut = new CountDownLatch(1);
+    void abortsAChunkedBodyThatExceedsTheSizeLimit() throws Exception {
+        CountDownLatch bodyTruncated = new CountDownLatch(1);
         start((connection, start) -> {
             try {
                 readBody(connection);
-                bodies.add(bytes);
-            } catch (IOException notWhole) {
-                cut.countDown();
+                receivedBodies.add(content);
+            } catch (IOException truncated) {
+                bodyTruncated.countDown();
             }
         });
         HttpTestConnection client = post("/move", "Transfer-Encoding: chunked\r\n");
         try {
             for (int i = 0; i < 8; i++) {
-                chunk(client, bytes, 0, LARGE, "");
+                writeChunk(client, content, 0, LARGE_BYTES, "");
             }
             assertEquals(413, client.read().status());
         } catch (IOException closed) {
             // It may be closed while there is more to send.
         }
-        assertTrue(cut.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-        assertTrue(bodies.isEmpty());
+        assertTrue(bodyTruncated.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertTrue(receivedBodies.isEmpty());
         try (HttpTestConnection next = HttpTestConnection.connect(rig.proxy().address())) {
             next.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
             assertEquals(200, next.read().status());
@@ -587,43 +590,43 @@
 
     /** The second answer stands behind the first, however long that is. */
     @Test
-    void longAnswersToPipelinedRequestsKeepTheirOrder() throws Exception {
-        CountDownLatch second = new CountDownLatch(1);
+    void largeResponsesToPipelinedRequestsKeepTheirOrder() throws Exception {
+        CountDownLatch secondStarted = new CountDownLatch(1);
         start((connection, start) -> {
             readBody(connection);
-            boolean first = start.contains("/first");
-            if (first) {
-                second.await();
+            boolean isFirst = start.contains("/first");
+            if (isFirst) {
+                secondStarted.await();
             }
-            connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n");
-            byte[] answer = bytes.clone();
-            answer[0] = (byte) (first ? 1 : 2);
-            connection.write(Arrays.copyOf(answer, 100_000));
-            second.countDown();
-            connection.write(Arrays.copyOfRange(answer, 100_000, LARGE));
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE_BYTES + "\r\n\r\n");
+            byte[] response = content.clone();
+            response[0] = (byte) (isFirst ? 1 : 2);
+            connection.write(Arrays.copyOf(response, 100_000));
+            secondStarted.countDown();
+            connection.write(Arrays.copyOfRange(response, 100_000, LARGE_BYTES));
         });
         HttpTestConnection client = rig.client();
         client.write(Rig.get("r1", "").replace("/board/7", "/board/first")
                 + Rig.get("r2", "").replace("/board/7", "/board/second"));
         for (int i = 1; i <= 2; i++) {
             client.readLine();
-            byte[] answer = readAnswer(client);
-            assertEquals(i, answer[0]);
-            assertEquals(LARGE, answer.length);
+            byte[] response = readResponse(client);
+            assertEquals(i, response[0]);
+            assertEquals(LARGE_BYTES, response.length);
         }
     }
 
     @Test
-    void aBodyOfTheMostSizeIsTakenInSmallMemory() throws Exception {
-        AtomicLong got = new AtomicLong();
+    void forwardsABodyOfTheMaximumSizeInLittleMemory() throws Exception {
+        AtomicLong receivedBytes = new AtomicLong();
         start((connection, start) -> {
             String line = start;
             while (!line.isEmpty()) {
                 line = connection.readLine();
             }
             byte[] part = new byte[1 << 16];
-            while (got.get() < RequestReader.MAX_BODY_BYTES) {
-                got.addAndGet(connection.input().readNBytes(part, 0, part.length));
+            while (receivedBytes.get() < RequestReader.MAX_BODY_BYTES) {
+                receivedBytes.addAndGet(connection.input().readNBytes(part, 0, part.length));
             }
             connection.respond("200 OK", "taken");
         });
@@ -633,7 +636,7 @@
             client.write(part);
         }
         assertEquals("taken", client.read().text());
-        assertEquals(RequestReader.MAX_BODY_BYTES, got.get());
+        assertEquals(RequestReader.MAX_BODY_BYTES, receivedBytes.get());
         assertEquals(List.of(), rig.log.toString(StandardCharsets.UTF_8).lines()
                 .filter(line -> !line.contains(" discovery call 1 (watch from 7) told list 8 ")).toList());
     }
--- a/src/test/java/passhatch/proxy/LateConnectionsTest.java
+++ b/src/test/java/passhatch/proxy/LateConnectionsTest.java
@@ -32,27 +32,27 @@
     private Rig rig;
     private final AtomicInteger sends = new AtomicInteger();
     private final CountDownLatch connecting = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private final CountDownLatch resumeLoop = new CountDownLatch(1);
     private ScriptedServer first;
     private ScriptedServer second;
-    private final AtomicInteger arrived = new AtomicInteger();
+    private final AtomicInteger receivedRequests = new AtomicInteger();
 
     @BeforeEach
     void setUp() throws IOException {
         rig = new Rig(folder);
-        first = rig.backend(this::breakTheFirst);
-        second = rig.backend(this::breakTheFirst);
+        first = rig.backend(this::resetFirstRequest);
+        second = rig.backend(this::resetFirstRequest);
     }
 
     @AfterEach
     void tearDown() throws IOException {
-        goOn.countDown();
+        resumeLoop.countDown();
         rig.close();
     }
 
-    private void breakTheFirst(HttpTestConnection connection, HttpTestConnection.Message request)
+    private void resetFirstRequest(HttpTestConnection connection, HttpTestConnection.Message request)
             throws IOException {
-        if (arrived.getAndIncrement() == 0) {
+        if (receivedRequests.getAndIncrement() == 0) {
             connection.reset();
         } else {
             connection.respond("200 OK", request.header("X-Request-Id"));
@@ -60,50 +60,51 @@
     }
 
     /** Starts a proxy whose loop stands still right after it began to connect for that send. */
-    private void startHolding(int atSend) throws Exception {
+    private void startBlockingLoop(int blockingSend) throws Exception {
         rig.module((settings, seed, actions) ->
                 new LeastLoadedBalancer(settings, seed, (Actions) Proxy.newProxyInstance(
-                Actions.class.getClassLoader(), new Class<?>[] {Actions.class}, (self, method, args) -> {
+                Actions.class.getClassLoader(), new Class<?>[] {Actions.class}, (proxy, method, args) -> {
                     try {
                         Object result = method.invoke(actions, args);
-                        if (method.getName().equals("send") && sends.incrementAndGet() == atSend) {
+                        if (method.getName().equals("send") && sends.incrementAndGet() == blockingSend) {
                             connecting.countDown();
                             rig.proxy().inLoop(() ->
-                                    goOn.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                                    resumeLoop.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                         }
                         return result;
-                    } catch (InvocationTargetException bad) {
-                        throw bad.getCause();
+                    } catch (InvocationTargetException wrapped) {
+                        throw wrapped.getCause();
                     }
                 }))).start(Rig.entry("s", first.address(), "SERVING"),
                         Rig.entry("t", second.address(), "SERVING"));
     }
 
     /** Lets the time pass and the loop go on; gives the answer. */
-    private HttpTestConnection.Message afterMs(HttpTestConnection client, long ms) throws Exception {
+    private HttpTestConnection.Message resumeAfterMs(HttpTestConnection client, long delayMs)
+            throws Exception {
         connecting.await();
-        rig.pass(ms);
-        goOn.countDown();
+        rig.advanceClock(delayMs);
+        resumeLoop.countDown();
         return client.read();
     }
 
     @Test
-    void pastTheDeadlineNothingIsWritten() throws Exception {
-        startHolding(1);
+    void writesNothingAfterTheDeadline() throws Exception {
+        startBlockingLoop(1);
         HttpTestConnection client = rig.client();
         client.write(Rig.get("late", "X-Deadline: 8000m\r\n"));
-        assertNotEquals(200, afterMs(client, 9_000).status());
-        assertEquals(0, arrived.get());
+        assertNotEquals(200, resumeAfterMs(client, 9_000).status());
+        assertEquals(0, receivedRequests.get());
     }
 
     /** Its first attempt may have run; the window in which a repeat is dropped is 9 s. */
     @ParameterizedTest
     @CsvSource({"9100, 1", "5000, 2"})
-    void pastTheWindowOfItsKeyNoRepeatIsWritten(long ms, int most) throws Exception {
-        startHolding(2);
+    void writesNoRetryAfterTheDedupWindow(long delayMs, int expectedRequests) throws Exception {
+        startBlockingLoop(2);
         HttpTestConnection client = rig.client();
         client.write(Rig.post("/buy", "keyed", "Idempotency-Key: k\r\n"));
-        assertEquals(most == 2, afterMs(client, ms).status() == 200);
-        assertEquals(most, arrived.get());
+        assertEquals(expectedRequests == 2, resumeAfterMs(client, delayMs).status() == 200);
+        assertEquals(expectedRequests, receivedRequests.get());
     }
 }
--- a/src/test/java/passhatch/proxy/LeavingClientsTest.java
+++ b/src/test/java/passhatch/proxy/LeavingClientsTest.java
@@ -319,7 +319,7 @@
         int requestCount = 600;
         List<String> heldIds = new ArrayList<>();
         BlockingQueue<Actions> module = new LinkedBlockingQueue<>();
-        rig.standStill().module((settings, seed, actions) -> {
+        rig.freezeClock().module((settings, seed, actions) -> {
             module.add(actions);
             return ScriptedModule.of((method, args) -> {
                 if (args[args.length - 1] instanceof Balancer.Request request) {
@@ -361,7 +361,7 @@
         }
         // The response to another client takes some iterations of the event loop.
         Rig.awaitReady(rig.proxy().address());
-        rig.pass(300);
+        rig.advanceClock(300);
         rig.proxy().inLoop(() -> {
             heldIds.forEach(id -> actions.send(id, "s", 0));
             return null;
--- a/src/test/java/passhatch/proxy/ProxyServerTest.java
+++ b/src/test/java/passhatch/proxy/ProxyServerTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void passesRequestAndBodyOnUnchanged() throws Exception {
+    void forwardsRequestAndBodyUnchanged() throws Exception {
         byte[] body = new byte[60_000];
         new Random(5).nextBytes(body);
         ScriptedServer backend = rig.backend((connection, request) -> {
@@ -63,9 +63,9 @@
         client.write("POST /buy/3?q=%20a HTTP/1.1\r\nHost: p\r\nX-Request-Id: r1\r\nIdempotency-Key: k9\r\n"
                 + "X-Tenant: acme\r\nX-Deadline: 8000m\r\nContent-Length: " + body.length + "\r\n\r\n");
         client.write(body);
-        Message answer = client.read();
-        assertEquals(200, answer.status());
-        assertArrayEquals(body, answer.body());
+        Message response = client.read();
+        assertEquals(200, response.status());
+        assertArrayEquals(body, response.body());
         Message sent = backend.next();
         assertEquals("POST /buy/3?q=%20a HTTP/1.1", sent.startLine());
         assertArrayEquals(body, sent.body());
@@ -76,14 +76,14 @@
     }
 
     @Test
-    void isReadyOnlyOnceTheListIsIn() throws Exception {
+    void isReadyOnlyAfterTheListHasArrived() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         ProxyServer proxy = ProxyServer.start(ProxyConfig.read(rig.environment()), new EventLog(System.err),
                 passhatch.LeastLoadedBalancer::new);
         try (HttpTestConnection client = HttpTestConnection.connect(proxy.address())) {
             client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
             assertEquals(503, client.read().status());
-            rig.lines.add(Rig.list(8, true, up("s", backend)));
+            rig.discoveryLines.add(Rig.list(8, true, up("s", backend)));
             Rig.awaitReady(proxy.address());
         } finally {
             proxy.stopNow();
@@ -92,8 +92,8 @@
 
     /** Where nothing has changed since the list that is remembered, a watch begins with an empty line. */
     @Test
-    void isReadyWhereNothingHasChanged() throws Exception {
-        rig.lines.add("");
+    void isReadyIfTheCachedListIsCurrent() throws Exception {
+        rig.discoveryLines.add("");
         ProxyServer proxy = ProxyServer.start(ProxyConfig.read(rig.environment()), new EventLog(System.err),
                 passhatch.LeastLoadedBalancer::new);
         try {
@@ -109,21 +109,22 @@
      */
     @ParameterizedTest
     @CsvSource({"on_request, false, 200", "on_request, true, 200", "pushed, false, 503", "pushed, true, 503"})
-    void isReadyWithTheListRememberedWhereNoneComes(String way, boolean silent, int status) throws Exception {
+    void servesTheCachedListOnlyIfDiscoveryIsPolled(String discoveryMode, boolean silent, int status)
+            throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "x"));
-        rig.standStill().replace("\"pushed\"", "\"" + way + "\"")
-                .replace("\"drainGraceUs\"", "\"askEveryUs\":10000000,\"drainGraceUs\"")
-                .replace("\"endpoints\":[]", "\"endpoints\":[" + up("s", backend) + "]");
+        rig.freezeClock().replaceInConfig("\"pushed\"", "\"" + discoveryMode + "\"")
+                .replaceInConfig("\"drainGraceUs\"", "\"askEveryUs\":10000000,\"drainGraceUs\"")
+                .replaceInConfig("\"endpoints\":[]", "\"endpoints\":[" + up("s", backend) + "]");
         ScriptedServer discovery = rig.backend(ScriptedServer.SILENT);
         if (!silent) {
             discovery.close();
         }
         rig.startWithoutList(discovery.address());
-        String ready = "GET /ready HTTP/1.1\r\nHost: p\r\n\r\n";
-        rig.pass(3_900);
-        assertEquals(503, rig.call(ready).status());
-        rig.pass(200);
-        assertEquals(status, rig.call(ready).status());
+        String readyRequest = "GET /ready HTTP/1.1\r\nHost: p\r\n\r\n";
+        rig.advanceClock(3_900);
+        assertEquals(503, rig.call(readyRequest).status());
+        rig.advanceClock(200);
+        assertEquals(status, rig.call(readyRequest).status());
         if (status == 200) {
             assertEquals("x", rig.call(Rig.get("r", "")).text());
         }
@@ -131,7 +132,7 @@
 
     /** A malformed head leaves no place to read on from. */
     @Test
-    void whatIsNotHttpIsTurnedDownAndTheConnectionClosed() throws Exception {
+    void answersBytesThatAreNotHttpWith400AndCloses() throws Exception {
         rig.start();
         HttpTestConnection client = rig.client();
         client.write("GET /board HTTP/9.x\r\nbad\r\n\r\n");
@@ -151,7 +152,7 @@
             400 | GET /board HTTP/1.1             | X-Tenant: nobody
             413 | POST /move HTTP/1.1             | Content-Length: 33554433
             """)
-    void turnsMalformedRequestsDownAndSendsNothing(int status, String start, String header)
+    void rejectsInvalidRequestsWithoutForwardingThem(int status, String start, String header)
             throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", ""));
         rig.start(up("s", backend));
@@ -163,7 +164,7 @@
     }
 
     @Test
-    void anIdStillHeldIsNotTakenTwice() throws Exception {
+    void rejectsARequestIdThatIsInUse() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         rig.start(up("s", backend));
         rig.client().write(Rig.get("same", ""));
@@ -174,7 +175,7 @@
 
     /** A stranger that uses the id of an open request and leaves takes nothing from it. */
     @Test
-    void anIdInUseIsNotTouchedByAnother() throws Exception {
+    void aRejectedDuplicateIdDoesNotAffectTheOriginalRequest() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         ScriptedServer backend = rig.backend((connection, request) -> {
             release.await();
@@ -184,10 +185,10 @@
         HttpTestConnection first = rig.client();
         first.write(Rig.get("same", ""));
         backend.next();
-        HttpTestConnection stranger = rig.client();
-        stranger.write(Rig.get("same", ""));
-        assertEquals(400, stranger.read().status());
-        stranger.reset();
+        HttpTestConnection duplicate = rig.client();
+        duplicate.write(Rig.get("same", ""));
+        assertEquals(400, duplicate.read().status());
+        duplicate.reset();
         assertEquals(400, rig.call(Rig.get("same", "")).status());
         release.countDown();
         assertEquals("mine", first.read().text());
@@ -197,30 +198,31 @@
     @ParameterizedTest
     @CsvSource({"1800000m, 1e300, 10000000, 0", "9999999u, Infinity, 9999999, 0", "5000m, NaN, 5000000, 0",
         "5000m, -7, 5000000, 0", "5000m, 10000001, 5000000, 0", "5000m, 300000.5, 5000000, 300000"})
-    void figuresOfClientsAreHeldToWhatCanBe(String deadline, String hint, long mostLeftUs, long workUs)
+    void boundsDeadlineAndCostHintOfClients(String deadline, String costHint, long maxTimeLeftUs,
+    long expectedWorkUs)
             throws Exception {
-        BlockingQueue<Balancer.Request> taken = new LinkedBlockingQueue<>();
+        BlockingQueue<Balancer.Request> accepted = new LinkedBlockingQueue<>();
         rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
-            if (args[args.length - 1] instanceof Balancer.Request r) {
-                taken.add(r);
-                actions.refuse(r.id(), 0);
+            if (args[args.length - 1] instanceof Balancer.Request incoming) {
+                accepted.add(incoming);
+                actions.refuse(incoming.id(), 0);
             }
         })).start();
-        rig.call(Rig.get("r", "X-Deadline: " + deadline + "\r\nX-Cost-Hint: " + hint + "\r\n"));
-        Balancer.Request request = taken.take();
-        assertTrue(request.timeLeftUs() <= mostLeftUs, request.toString());
-        assertEquals(workUs, request.expectedWorkUs());
+        rig.call(Rig.get("r", "X-Deadline: " + deadline + "\r\nX-Cost-Hint: " + costHint + "\r\n"));
+        Balancer.Request request = accepted.take();
+        assertTrue(request.timeLeftUs() <= maxTimeLeftUs, request.toString());
+        assertEquals(expectedWorkUs, request.expectedWorkUs());
     }
 
     @ParameterizedTest
     @CsvSource({"inflight=1e999", "inflight=-3", "queue=1e300", "inflight=..", "util=-0.1", "=,=", "{"})
-    void aReportThatCannotBeIsNone(String text) {
-        assertNull(LoadText.parse(text));
+    void ignoresInvalidLoadReports(String text) {
+        assertNull(LoadReportParser.parse(text));
     }
 
     /** A backend that is gone is forgotten; what is sent there all the same ends at once. */
     @Test
-    void whatIsSentToABackendThatIsGoneEndsAtOnce() throws Exception {
+    void anAttemptToAnUnknownBackendEndsAtOnce() throws Exception {
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
             if (method.equals("request")) {
@@ -235,14 +237,14 @@
     }
 
     @Test
-    void ofLinesThatOthersBringAboutOnlySomeAreWritten() {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        EventLog log = new EventLog(new java.io.PrintStream(out));
+    void limitsTheRateOfLogLinesCausedByPeers() {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        EventLog log = new EventLog(new java.io.PrintStream(output));
         for (int i = 0; i < 1000; i++) {
             log.line(EventLog.Kind.CLIENT, "bad " + i);
         }
         log.line(EventLog.Kind.BACKEND, "other");
-        assertEquals(6, out.toString(StandardCharsets.UTF_8).lines().count());
+        assertEquals(6, output.toString(StandardCharsets.UTF_8).lines().count());
     }
 
     @Test
@@ -251,18 +253,18 @@
                 request.header("X-Request-Id")));
         rig.start(up("s", backend));
         HttpTestConnection client = rig.client();
-        StringBuilder all = new StringBuilder();
+        StringBuilder requests = new StringBuilder();
         for (int i = 0; i < 10; i++) {
-            all.append(Rig.get("p" + i, ""));
+            requests.append(Rig.get("p" + i, ""));
         }
-        client.write(all.toString());
+        client.write(requests.toString());
         for (int i = 0; i < 10; i++) {
             assertEquals("p" + i, client.read().text());
         }
     }
 
     @Test
-    void answersBeforeTheDeadlineOnceAndGivesTheAttemptUp() throws Exception {
+    void respondsExactlyOnceBeforeTheDeadlineAndCancelsTheAttempt() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> {
             if (request.header("X-Request-Id").equals("slow")) {
                 connection.socket.getInputStream().read();
@@ -272,85 +274,85 @@
         });
         rig.start(up("s", backend));
         HttpTestConnection client = rig.client();
-        long start = System.nanoTime();
+        long startNs = System.nanoTime();
         client.write(Rig.post("/move", "slow", "X-Deadline: 1500m\r\n"));
-        Message answer = client.read();
-        assertTrue((System.nanoTime() - start) / 1_000_000 < 1500);
-        assertEquals(502, answer.status(), "an unsafe request that may have run is failed, not refused");
+        Message response = client.read();
+        assertTrue((System.nanoTime() - startNs) / 1_000_000 < 1500);
+        assertEquals(502, response.status(), "an unsafe request that may have run is failed, not refused");
         backend.awaitEnded();
         client.write(Rig.get("next", ""));
         assertEquals("quick", client.read().text(), "nothing more was written for the first");
     }
 
     @Test
-    void answersItselfJustInTimeWhereTheModuleDoesNot() throws Exception {
+    void respondsBeforeTheDeadlineIfTheModuleDoesNot() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
-            if (args[args.length - 1] instanceof Balancer.Request r && r.id().equals("sent")) {
-                actions.send(r.id(), "s", 0);
+            if (args[args.length - 1] instanceof Balancer.Request incoming && incoming.id().equals("sent")) {
+                actions.send(incoming.id(), "s", 0);
             }
         })).start(up("s", backend));
-        long start = System.nanoTime();
+        long startNs = System.nanoTime();
         assertEquals(502, rig.call(Rig.post("/move", "sent", "X-Deadline: 900m\r\n")).status());
-        assertTrue((System.nanoTime() - start) / 1_000_000 < 900);
+        assertTrue((System.nanoTime() - startNs) / 1_000_000 < 900);
         assertEquals(503, rig.call(Rig.post("/move/held", "held", "X-Deadline: 300m\r\n")).status());
     }
 
     /** A request's time runs on while the loop is held up and reads nothing. */
     @Test
-    void theTimeThatARequestStoodUnreadIsTakenOff() throws Exception {
+    void deductsTheTimeThatARequestWaitedUnread() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
-        CountDownLatch heldUp = new CountDownLatch(1);
-        BlockingQueue<Long> left = new LinkedBlockingQueue<>();
+        CountDownLatch loopBlocked = new CountDownLatch(1);
+        BlockingQueue<Long> timesLeftUs = new LinkedBlockingQueue<>();
         rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
-            if (args[args.length - 1] instanceof Balancer.Request r) {
-                if (r.id().equals("first")) {
-                    heldUp.countDown();
+            if (args[args.length - 1] instanceof Balancer.Request incoming) {
+                if (incoming.id().equals("first")) {
+                    loopBlocked.countDown();
                     LockSupport.parkNanos(400_000_000);
                 } else {
-                    left.add(r.timeLeftUs());
+                    timesLeftUs.add(incoming.timeLeftUs());
                 }
-                actions.refuse(r.id(), 0);
+                actions.refuse(incoming.id(), 0);
             }
         })).start(up("s", backend));
         HttpTestConnection first = rig.client();
         HttpTestConnection second = rig.client();
         first.write(Rig.get("first", ""));
-        heldUp.await();
+        loopBlocked.await();
         second.write(Rig.get("second", "X-Deadline: 5000m\r\n"));
         assertEquals(503, second.read().status());
-        assertTrue(left.take() < 4_800_000);
+        assertTrue(timesLeftUs.take() < 4_800_000);
     }
 
     /** Its time counts from its last byte, however late in it that comes. */
     @Test
-    void aRequestInPiecesHasItsTimeFromItsLastByte() throws Exception {
+    void theDeadlineOfAFragmentedRequestCountsFromItsLastByte() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "x"));
-        rig.standStill().start(up("s", backend));
+        rig.freezeClock().start(up("s", backend));
         HttpTestConnection client = rig.client();
         String request = Rig.post("/move", "r", "X-Deadline: 1000m\r\n");
-        for (int at = 0; at < request.length(); at += 40) {
-            client.write(request.substring(at, Math.min(at + 40, request.length())));
+        for (int offset = 0; offset < request.length(); offset += 40) {
+            client.write(request.substring(offset, Math.min(offset + 40, request.length())));
             // Another's call is answered some turns of the loop later.
             assertEquals(200, rig.call("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n").status());
-            rig.pass(300);
+            rig.advanceClock(300);
         }
         assertEquals("x", client.read().text());
     }
 
     @Test
-    void refusesWithRetryAfterWhereNothingRan() throws Exception {
+    void refusesWithRetryAfterIfNoAttemptRan() throws Exception {
         ScriptedServer full = rig.backend((connection, request) -> connection.write(
                 "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"));
-        rig.aimUs(300_000).start(up("s", full));
-        Message answer = rig.call(Rig.post("/move", "r", "X-Deadline: 9000m\r\n"));
-        assertEquals(503, answer.status());
-        assertEquals("2", answer.header("Retry-After"));
+        rig.latencyGoalUs(300_000).start(up("s", full));
+        Message response = rig.call(Rig.post("/move", "r", "X-Deadline: 9000m\r\n"));
+        assertEquals(503, response.status());
+        assertEquals("2", response.header("Retry-After"));
     }
 
     /** A client told nothing comes again at once, and has used up its tries before anything has changed. */
     @Test
-    void aQuickRefusalTellsWhenToReturnToo() throws Exception {
+    void anImmediateRefusalHasRetryAfter() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> {
             if (request.startLine().startsWith("POST")) {
                 connection.write("HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
@@ -361,31 +363,31 @@
         });
         rig.limit("maxAttempts", 1).start(up("s", backend));
         assertEquals(200, rig.call(Rig.get("a", "")).status());
-        Message answer = rig.call(Rig.post("/move", "r", "X-Deadline: 9000m\r\n"));
-        assertEquals(503, answer.status());
-        double seconds = Double.parseDouble(answer.header("Retry-After"));
-        assertTrue(seconds > 0 && seconds < 2, answer.header("Retry-After"));
+        Message response = rig.call(Rig.post("/move", "r", "X-Deadline: 9000m\r\n"));
+        assertEquals(503, response.status());
+        double seconds = Double.parseDouble(response.header("Retry-After"));
+        assertTrue(seconds > 0 && seconds < 2, response.header("Retry-After"));
     }
 
     /** A fault of the caller's must not use up what others need to be sent again. */
     @Test
-    void whatABackendFindsFaultyIsNotSentToTheNext() throws Exception {
-        ScriptedServer.Script faulty = (connection, request) -> connection.respond("400 Bad Request", "");
-        ScriptedServer a = rig.backend(faulty);
-        ScriptedServer b = rig.backend(faulty);
-        rig.start(up("a", a), up("b", b));
+    void doesNotRetryARequestThatABackendRejectedWith400() throws Exception {
+        ScriptedServer.Script rejecting = (connection, request) -> connection.respond("400 Bad Request", "");
+        ScriptedServer first = rig.backend(rejecting);
+        ScriptedServer second = rig.backend(rejecting);
+        rig.start(up("a", first), up("b", second));
         assertTrue(rig.call(Rig.get("r", "")).status() >= 400);
-        assertEquals(1, a.received.size() + b.received.size());
+        assertEquals(1, first.received.size() + second.received.size());
     }
 
     /** An answer that is lost must not cost the request: long overdue, it is asked for elsewhere too. */
     @Test
-    void anOverdueRequestIsSentElsewhereTooWhereItMayRunAgain() throws Exception {
-        BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+    void hedgesAnOverdueRequestOnlyIfItMayRunTwice() throws Exception {
+        BlockingQueue<String> receivedIds = new LinkedBlockingQueue<>();
         ScriptedServer.Script script = (connection, request) -> {
             String id = request.header("X-Request-Id");
-            seen.add(id);
-            if (id.startsWith("warm") || seen.stream().filter(id::equals).count() == 2) {
+            receivedIds.add(id);
+            if (id.startsWith("warm") || receivedIds.stream().filter(id::equals).count() == 2) {
                 connection.respond("200 OK", id);
             }
         };
@@ -396,34 +398,34 @@
         assertEquals("stuck", rig.call(Rig.get("stuck", "")).text());
         assertEquals("keyed", rig.call(Rig.post("/buy", "keyed", "Idempotency-Key: k\r\n")).text());
         assertEquals(502, rig.call(Rig.post("/move", "unsafe", "X-Deadline: 500m\r\n")).status());
-        assertEquals(1, seen.stream().filter("unsafe"::equals).count());
+        assertEquals(1, receivedIds.stream().filter("unsafe"::equals).count());
     }
 
     @Test
-    void unsafeIsNotSentAgainAfterAReset() throws Exception {
-        ScriptedServer.Script breaks = (connection, request) -> connection.reset();
-        ScriptedServer a = rig.backend(breaks);
-        ScriptedServer b = rig.backend(breaks);
-        rig.start(up("a", a), up("b", b));
+    void doesNotRetryAnUnsafeRequestAfterAReset() throws Exception {
+        ScriptedServer.Script resetting = (connection, request) -> connection.reset();
+        ScriptedServer first = rig.backend(resetting);
+        ScriptedServer second = rig.backend(resetting);
+        rig.start(up("a", first), up("b", second));
         assertEquals(502, rig.call(Rig.post("/move", "r", "")).status());
-        assertEquals(1, a.received.size() + b.received.size());
+        assertEquals(1, first.received.size() + second.received.size());
     }
 
     @Test
-    void unsafeIsSentElsewhereWhereItDidNotRun() throws Exception {
-        ScriptedServer.Script once = (connection, request) -> {
+    void retriesAnUnsafeRequestThatDidNotRun() throws Exception {
+        ScriptedServer.Script refusing = (connection, request) -> {
             if (request.header("X-Request-Id").equals("r")) {
                 connection.write("HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
             }
         };
         ScriptedServer good = ScriptedServer.saying("done");
-        ScriptedServer full = rig.backend(once);
+        ScriptedServer full = rig.backend(refusing);
         try (good) {
             rig.start(up("full", full));
             HttpTestConnection client = rig.client();
             client.write(Rig.post("/move", "r", ""));
             full.next();
-            rig.lines.add(Rig.list(9, false, up("good", good)));
+            rig.discoveryLines.add(Rig.list(9, false, up("good", good)));
             assertEquals("done", client.read().text());
         }
     }
@@ -432,13 +434,13 @@
     @Test
     void nothingIsWrittenToABackendThatDrainsWhileConnecting() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", ""));
-        EndpointList drains = EndpointList.of(JSON.std.mapFrom(Rig.list(9, false,
+        EndpointList drainingList = EndpointList.of(JSON.std.mapFrom(Rig.list(9, false,
                 Rig.entry("s", backend.address(), "DRAINING"))), List.of("a"), List.of("m"));
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
             if (method.equals("request")) {
                 actions.send(((Balancer.Request) args[1]).id(), "s", 0);
-                ((Discovery.Listener) actions).listed(drains);
+                ((Discovery.Listener) actions).listed(drainingList);
             } else if (method.equals("outcome")) {
                 outcomes.add((Outcome) args[4]);
                 actions.refuse((String) args[1], 0);
@@ -450,31 +452,32 @@
     }
 
     @Test
-    void takesABrokenWatchUpFromTheLastIndexAndSkipsBadLines() throws Exception {
+    void resumesABrokenWatchFromTheLastIndexAndSkipsBadLines() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         rig.start(up("s", backend));
         assertTrue(rig.discovery().next().startLine().contains("from=7"));
-        rig.lines.add("{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":5}]}");
-        rig.lines.add("not json");
-        rig.lines.add(Rig.END_OF_WATCH);
+        rig.discoveryLines.add("{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":5}]}");
+        rig.discoveryLines.add("not json");
+        rig.discoveryLines.add(Rig.END_OF_WATCH);
         assertTrue(rig.discovery().next().startLine().contains("from=8"), "bad lines do not count as heard");
         assertEquals("s", rig.call(Rig.get("a", "")).text(), "the last list stays");
         ScriptedServer other = rig.backend((connection, request) -> connection.respond("200 OK", "t"));
-        rig.lines.add(Rig.list(12, false, Rig.entry("s", backend.address(), "DELETED"), up("t", other)));
-        rig.lines.add(Rig.END_OF_WATCH);
+        rig.discoveryLines.add(Rig.list(12, false, Rig.entry("s", backend.address(), "DELETED"),
+                up("t", other)));
+        rig.discoveryLines.add(Rig.END_OF_WATCH);
         assertTrue(rig.discovery().next().startLine().contains("from=12"));
         assertEquals("t", rig.call(Rig.get("b", "")).text());
     }
 
     @Test
-    void fetchesTheWholeListWhereTheVersionIsForgotten() throws Exception {
+    void fetchesTheFullListIfTheVersionHasExpired() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         rig.start(up("s", backend));
         assertTrue(rig.discovery().next().startLine().contains("from=7"));
         ScriptedServer other = rig.backend((connection, request) -> connection.respond("200 OK", "t"));
-        rig.lines.add(Rig.END_OF_WATCH);
-        rig.lines.add(Rig.FORGOTTEN);
-        rig.lines.add(Rig.list(40, true, up("t", other)));
+        rig.discoveryLines.add(Rig.END_OF_WATCH);
+        rig.discoveryLines.add(Rig.EXPIRED_VERSION);
+        rig.discoveryLines.add(Rig.list(40, true, up("t", other)));
         assertTrue(rig.discovery().next().startLine().contains("from=8"));
         assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().startLine());
         assertTrue(rig.discovery().next().startLine().contains("from=40"));
@@ -482,23 +485,23 @@
     }
 
     @Test
-    void aClientThatLeavesEndsItsAttempt() throws Exception {
+    void aClientThatDisconnectsCancelsItsAttempt() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         rig.start(up("s", backend));
-        HttpTestConnection leaves = rig.client();
-        leaves.write(Rig.get("a", ""));
+        HttpTestConnection closing = rig.client();
+        closing.write(Rig.get("a", ""));
         backend.next();
-        leaves.close();
+        closing.close();
         backend.awaitEnded();
-        HttpTestConnection resets = rig.client();
-        resets.write(Rig.get("b", ""));
+        HttpTestConnection resetting = rig.client();
+        resetting.write(Rig.get("b", ""));
         backend.next();
-        resets.reset();
+        resetting.reset();
         backend.awaitEnded();
     }
 
     @Test
-    void aClientThatEndsItsSendingIsAnsweredAndLetGo() throws Exception {
+    void aClientThatHalfClosesGets502AndIsDisconnected() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         rig.start(up("s", backend));
         HttpTestConnection client = rig.client();
@@ -518,23 +521,24 @@
         rig.limit("probes", true).start(up("s", backend));
         assertEquals("served", rig.call(Rig.get("a", "")).text());
         // A call goes out without the answer to its probe where that is slow, so either may come first.
-        Message first = backend.next();
-        boolean probeFirst = first.startLine().contains("/status/load");
-        Message probe = probeFirst ? first : backend.next();
+        Message firstReceived = backend.next();
+        boolean probeFirst = firstReceived.startLine().contains("/status/load");
+        Message probe = probeFirst ? firstReceived : backend.next();
         assertEquals("GET /status/load HTTP/1.1", probe.startLine());
         assertNull(probe.header("X-Request-Id"), "a probe is no request");
     }
 
     @Test
     void badConfigurationGivesOneLineAndStatusTwo() throws Exception {
-        ByteArrayOutputStream err = new ByteArrayOutputStream();
-        var env = new java.util.HashMap<>(rig.limit("maxAttempts", "many").environment());
-        assertEquals(2, ProxyServer.serve(env, new java.io.PrintStream(err)));
-        assertEquals(1, err.toString(StandardCharsets.UTF_8).lines().count(), err.toString());
-        assertTrue(err.toString(StandardCharsets.UTF_8).contains("limits.maxAttempts"), err.toString());
-        env.remove("PROXY_LISTEN");
-        assertEquals(2, ProxyServer.serve(env, new java.io.PrintStream(err)));
-        assertTrue(err.toString(StandardCharsets.UTF_8).contains("PROXY_LISTEN is not set"));
-        assertEquals(2, err.toString(StandardCharsets.UTF_8).lines().count());
+        ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
+        var environment = new java.util.HashMap<>(rig.limit("maxAttempts", "many").environment());
+        assertEquals(2, ProxyServer.serve(environment, new java.io.PrintStream(errorOutput)));
+        assertEquals(1, errorOutput.toString(StandardCharsets.UTF_8).lines().count(), errorOutput.toString());
+        assertTrue(errorOutput.toString(StandardCharsets.UTF_8).contains("limits.maxAttempts"),
+                errorOutput.toString());
+        environment.remove("PROXY_LISTEN");
+        assertEquals(2, ProxyServer.serve(environment, new java.io.PrintStream(errorOutput)));
+        assertTrue(errorOutput.toString(StandardCharsets.UTF_8).contains("PROXY_LISTEN is not set"));
+        assertEquals(2, errorOutput.toString(StandardCharsets.UTF_8).lines().count());
     }
 }
--- a/src/test/java/passhatch/proxy/ReloadTest.java
+++ b/src/test/java/passhatch/proxy/ReloadTest.java
@@ -69,17 +69,17 @@
     @ValueSource(strings = {"", "trap '' HUP TERM; "})
     void sighupMovesTheWatchAndNeverEndsTheProcess(String before) throws Exception {
         ScriptedServer a = saying("a");
-        rig.lines.add(Rig.list(8, true, up("s", a)));
+        rig.discoveryLines.add(Rig.list(8, true, up("s", a)));
         Map<String, String> env = rig.environment();
         try (ProxyProcess proxy = new ProxyProcess(env, before)) {
             Files.writeString(Path.of(env.get("PROXY_CONFIG")), "{\"seed\":");
             proxy.signal("HUP");
             proxy.awaitLog("configuration not taken over");
             awaitServedBy(proxy.address, "a");
-            rig.discoveryIn(at(other.discovery().address()));
+            rig.environmentWithDiscovery(at(other.discovery().address()));
             proxy.signal("HUP");
             proxy.signal("HUP");
-            other.lines.add(Rig.list(3, true, up("t", saying("b"))));
+            other.discoveryLines.add(Rig.list(3, true, up("t", saying("b"))));
             awaitServedBy(proxy.address, "b");
             proxy.signal("HUP");
             proxy.signal("TERM");
@@ -91,15 +91,15 @@
     @Test
     void theNewAddressIsAskedForTheWholeListFirst() throws Exception {
         rig.start(up("s", saying("a")));
-        Map<String, String> env = rig.discoveryIn(at(other.discovery().address()));
+        Map<String, String> env = rig.environmentWithDiscovery(at(other.discovery().address()));
         rig.proxy().reload(env);
-        other.lines.add(Rig.list(8, true, up("t", saying("b"))));
+        other.discoveryLines.add(Rig.list(8, true, up("t", saying("b"))));
         assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().next().startLine());
         assertTrue(other.discovery().next().startLine().contains("watch=1&from=8"));
         awaitServedBy(rig.proxy().address(), "b");
-        rig.lines.add(Rig.list(9, true));
-        rig.lines.add(Rig.list(9, true));
-        rig.lines.add(Rig.END_OF_WATCH);
+        rig.discoveryLines.add(Rig.list(9, true));
+        rig.discoveryLines.add(Rig.list(9, true));
+        rig.discoveryLines.add(Rig.END_OF_WATCH);
         rig.discovery().awaitEnded();
         assertEquals("b", rig.call(Rig.get("r", "")).text(), "the old address is heard no more");
     }
@@ -110,25 +110,26 @@
         ScriptedServer a = saying("a");
         rig.start(up("s", a));
         assertEquals("a", rig.call(Rig.get("r", "")).text());
-        rig.proxy().reload(rig.discoveryIn(at(other.discovery().address())));
+        rig.proxy().reload(rig.environmentWithDiscovery(at(other.discovery().address())));
         other.discovery().next();
-        rig.lines.add(Rig.list(9, false, Rig.entry("s", a.address(), "DELETED"), up("t", saying("b"))));
+        rig.discoveryLines.add(Rig.list(9, false, Rig.entry("s", a.address(), "DELETED"),
+                up("t", saying("b"))));
         awaitServedBy(rig.proxy().address(), "b");
     }
 
     /** A module that asks by itself takes each list for a sign that it watches: it would never ask there. */
     @Test
     void aListFromTheOldAddressDoesNotPassForAWatchOfTheNewOne() throws Exception {
-        rig.replace("\"discovery\":\"pushed\"", "\"discovery\":\"on_request\"")
-                .replace("\"coldFrom\":0.4", "\"coldFrom\":0.4,\"askEveryUs\":9000000");
+        rig.replaceInConfig("\"discovery\":\"pushed\"", "\"discovery\":\"on_request\"")
+                .replaceInConfig("\"coldFrom\":0.4", "\"coldFrom\":0.4,\"askEveryUs\":9000000");
         rig.module((settings, seed, actions) -> ScriptedModule.of((name, args) -> {
             if (name.equals("serversChanged") && args[1] == Balancer.ListKind.CACHED) {
                 actions.watchServers();
             }
         }));
         rig.start(up("s", saying("a")));
-        rig.proxy().reload(rig.discoveryIn(at(other.discovery().address())));
-        rig.lines.add(Rig.list(9, false));
+        rig.proxy().reload(rig.environmentWithDiscovery(at(other.discovery().address())));
+        rig.discoveryLines.add(Rig.list(9, false));
         assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().next().startLine());
     }
 
@@ -139,11 +140,11 @@
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             down = (InetSocketAddress) closed.getLocalSocketAddress();
         }
-        rig.proxy().reload(rig.discoveryIn(at(down)));
+        rig.proxy().reload(rig.environmentWithDiscovery(at(down)));
         rig.awaitLog("discovery: Connection refused");
         assertEquals("a", rig.call(Rig.get("r", "")).text());
-        rig.proxy().reload(rig.discoveryIn(at(other.discovery().address())));
-        other.lines.add(Rig.list(1, true, up("t", saying("b"))));
+        rig.proxy().reload(rig.environmentWithDiscovery(at(other.discovery().address())));
+        other.discoveryLines.add(Rig.list(1, true, up("t", saying("b"))));
         awaitServedBy(rig.proxy().address(), "b");
     }
 }
--- a/src/test/java/passhatch/proxy/Rig.java
+++ b/src/test/java/passhatch/proxy/Rig.java
@@ -25,54 +25,55 @@
     private final Map<String, Object> limits = new HashMap<>(Map.of("maxAttempts", 3, "cancel", true,
             "mayDuplicate", true, "probes", false, "retryAfter", true, "maxRetryAfterUs", 2_000_000,
             "maxStreams", 1, "keepaliveUs", 10_000_000, "connectTimeoutUs", 8_000_000));
-    private final List<Closeable> open = new ArrayList<>();
-    final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
+    private final List<Closeable> resources = new ArrayList<>();
+    final BlockingQueue<String> discoveryLines = new LinkedBlockingQueue<>();
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final Path folder;
     private final ScriptedServer discovery;
-    private final Map<String, String> replaced = new LinkedHashMap<>();
-    private int aimUs = 9_000_000;
-    private int sockets = 256;
-    private String discoveryInFile;
+    private final Map<String, String> configReplacements = new LinkedHashMap<>();
+    private int latencyGoalUs = 9_000_000;
+    private int maxSockets = 256;
+    private String configuredDiscovery;
     private String console;
     private ProxyServer proxy;
     /** How far the proxy's clock is ahead; its timers are not. */
-    private final AtomicLong aheadNs = new AtomicLong();
+    private final AtomicLong clockOffsetNs = new AtomicLong();
     /** Where the proxy's clock stands still, to be moved by the test alone; 0 where it runs. */
-    private long stoodStillNs;
+    private long frozenAtNs;
     private ProxyServer.Module module = passhatch.LeastLoadedBalancer::new;
 
     /** What the script puts into {@link #lines} to end a watch. */
     static final String END_OF_WATCH = "end";
     /** And to have the next watch turned down, as its version is no longer known. */
-    static final String FORGOTTEN = "forgotten";
+    static final String EXPIRED_VERSION = "forgotten";
 
     Rig(Path folder) throws IOException {
         this.folder = folder;
         this.discovery = new ScriptedServer((connection, request) -> {
             if (!request.startLine().contains("watch=1")) {
-                connection.respond("200 OK", lines.take());
+                connection.respond("200 OK", discoveryLines.take());
                 return;
             }
-            if (FORGOTTEN.equals(lines.peek())) {
-                lines.take();
+            if (EXPIRED_VERSION.equals(discoveryLines.peek())) {
+                discoveryLines.take();
                 connection.respond("410 Gone", "");
                 return;
             }
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            for (String line = lines.take(); !line.equals(END_OF_WATCH); line = lines.take()) {
+            for (String line = discoveryLines.take(); !line.equals(END_OF_WATCH); line =
+                    discoveryLines.take()) {
                 String text = line + "\n";
                 connection.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
             }
             connection.reset();
         });
-        open.add(discovery);
-        discoveryInFile = "127.0.0.1:" + discovery.address().getPort();
+        resources.add(discovery);
+        configuredDiscovery = "127.0.0.1:" + discovery.address().getPort();
     }
 
     /** Has the configuration say something else. */
-    Rig replace(String text, String by) {
-        replaced.put(text, by);
+    Rig replaceInConfig(String text, String replacement) {
+        configReplacements.put(text, replacement);
         return this;
     }
 
@@ -81,8 +82,8 @@
         return this;
     }
 
-    Rig sockets(int most) {
-        sockets = most;
+    Rig maxSockets(int count) {
+        maxSockets = count;
         return this;
     }
 
@@ -91,13 +92,13 @@
         return this;
     }
 
-    Rig aimUs(int us) {
-        aimUs = us;
+    Rig latencyGoalUs(int goalUs) {
+        latencyGoalUs = goalUs;
         return this;
     }
 
-    Rig module(ProxyServer.Module other) {
-        module = other;
+    Rig module(ProxyServer.Module newModule) {
+        module = newModule;
         return this;
     }
 
@@ -107,7 +108,7 @@
 
     ScriptedServer backend(ScriptedServer.Script script) throws IOException {
         ScriptedServer server = new ScriptedServer(script);
-        open.add(server);
+        resources.add(server);
         return server;
     }
 
@@ -117,14 +118,14 @@
                 + "\",\"weight\":1.0,\"since_ms\":0}";
     }
 
-    static String list(int index, boolean whole, String... entries) {
-        return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":["
+    static String list(int index, boolean snapshot, String... entries) {
+        return "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":["
                 + String.join(",", entries) + "]}";
     }
 
     /** The same once the file names another address of discovery. */
-    Map<String, String> discoveryIn(String address) throws IOException {
-        discoveryInFile = address;
+    Map<String, String> environmentWithDiscovery(String address) throws IOException {
+        configuredDiscovery = address;
         return environment();
     }
 
@@ -132,10 +133,10 @@
     Map<String, String> environment() throws IOException {
         Path file = folder.resolve("config.json");
         Map<String, Object> config = new HashMap<>(Map.of("seed", "00000000000000ff",
-                "discovery", discoveryInFile,
-                "limits", Map.of("sockets", sockets), "known", JSON.std.mapFrom(list(7, true)), "settings",
-                Map.of("categories", List.of(kind("board", "pure"), kind("buy", "token"),
-                        kind("move", "side_effect")),
+                "discovery", configuredDiscovery,
+                "limits", Map.of("sockets", maxSockets), "known", JSON.std.mapFrom(list(7, true)), "settings",
+                Map.of("categories", List.of(requestClass("board", "pure"), requestClass("buy", "token"),
+                        requestClass("move", "side_effect")),
                         "tenants", List.of(Map.of("name", "acme", "quotaPerS", 0)), "dcs", List.of("a"),
                         "machineTypes", List.of("m"), "balancers", 1, "discovery", "pushed",
                         "limits", limits, "rules", Map.of("drainGraceUs", 2_000_000, "coldFrom", 0.4,
@@ -144,39 +145,39 @@
             config.put("console", console);
         }
         String text = JSON.std.asString(config);
-        for (Map.Entry<String, String> other : replaced.entrySet()) {
-            if (!text.contains(other.getKey())) {
-                throw new IllegalArgumentException(other.getKey() + " is not in " + text);
+        for (Map.Entry<String, String> replacement : configReplacements.entrySet()) {
+            if (!text.contains(replacement.getKey())) {
+                throw new IllegalArgumentException(replacement.getKey() + " is not in " + text);
             }
-            text = text.replace(other.getKey(), other.getValue());
+            text = text.replace(replacement.getKey(), replacement.getValue());
         }
         Files.writeString(file, text);
         return Map.of("PROXY_NAME", "n0", "PROXY_LISTEN", "127.0.0.1:0", "PROXY_DISCOVERY",
                 "127.0.0.1:" + discovery.address().getPort(), "PROXY_CONFIG", file.toString());
     }
 
-    private Map<String, Object> kind(String name, String effect) {
-        return Map.of("name", name, "effect", effect, "goalTimeUs", aimUs, "deadlineUs", 10_000_000,
+    private Map<String, Object> requestClass(String name, String effect) {
+        return Map.of("name", name, "effect", effect, "goalTimeUs", latencyGoalUs, "deadlineUs", 10_000_000,
                 "worth", 1, "dedupWindowUs", 9_000_000, "group", "all");
     }
 
     /** Starts the proxy and waits until it has the list. */
     Rig start(String... entries) throws Exception {
-        lines.add(list(8, true, entries));
+        discoveryLines.add(list(8, true, entries));
         return start(environment());
     }
 
     /** Starts the proxy with another discovery and waits until it has a list from there. */
-    Rig startAt(InetSocketAddress other) throws Exception {
+    Rig startWithDiscovery(InetSocketAddress discoveryAddress) throws Exception {
         Map<String, String> environment = new HashMap<>(environment());
-        environment.put("PROXY_DISCOVERY", "127.0.0.1:" + other.getPort());
+        environment.put("PROXY_DISCOVERY", "127.0.0.1:" + discoveryAddress.getPort());
         return start(environment);
     }
 
     /** The same, but waits for nothing. */
-    Rig startWithoutList(InetSocketAddress other) throws Exception {
+    Rig startWithoutList(InetSocketAddress discoveryAddress) throws Exception {
         Map<String, String> environment = new HashMap<>(environment());
-        environment.put("PROXY_DISCOVERY", "127.0.0.1:" + other.getPort());
+        environment.put("PROXY_DISCOVERY", "127.0.0.1:" + discoveryAddress.getPort());
         return launch(environment);
     }
 
@@ -189,13 +190,13 @@
     private Rig launch(Map<String, String> environment) throws Exception {
         proxy = ProxyServer.start(ProxyConfig.read(environment),
                 new EventLog(new PrintStream(log, true, StandardCharsets.UTF_8)), module,
-                new Clock(() -> (stoodStillNs == 0 ? System.nanoTime() : stoodStillNs) + aheadNs.get()));
+                new Clock(() -> (frozenAtNs == 0 ? System.nanoTime() : frozenAtNs) + clockOffsetNs.get()));
         return this;
     }
 
     static void awaitReady(InetSocketAddress address) throws IOException, InterruptedException {
-        long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
-        while (System.nanoTime() < end) {
+        long endNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
+        while (System.nanoTime() < endNs) {
             try (HttpTestConnection client = HttpTestConnection.connect(address)) {
                 client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
                 if (client.read().status() == 200) {
@@ -209,9 +210,9 @@
 
     /** Waits until the log has a line with the text. */
     void awaitLog(String text) throws InterruptedException {
-        long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
+        long endNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         while (!log.toString(StandardCharsets.UTF_8).contains(text)) {
-            if (System.nanoTime() > end) {
+            if (System.nanoTime() > endNs) {
                 throw new AssertionError("no line '" + text + "' in: " + log);
             }
             Thread.sleep(5);
@@ -219,14 +220,14 @@
     }
 
     /** To the proxy, no time passes but what the test says. */
-    Rig standStill() {
-        stoodStillNs = System.nanoTime();
+    Rig freezeClock() {
+        frozenAtNs = System.nanoTime();
         return this;
     }
 
     /** To the proxy, time passes in which it did nothing. */
-    void pass(long ms) {
-        aheadNs.addAndGet(ms * 1_000_000);
+    void advanceClock(long ms) {
+        clockOffsetNs.addAndGet(ms * 1_000_000);
     }
 
     ProxyServer proxy() {
@@ -235,17 +236,17 @@
 
     HttpTestConnection client() throws IOException {
         HttpTestConnection client = HttpTestConnection.connect(proxy.address());
-        open.add(client);
+        resources.add(client);
         return client;
     }
 
-    static String get(String id, String more) {
-        return "GET /board/7?x=1 HTTP/1.1\r\nHost: p\r\nX-Request-Id: " + id + "\r\n" + more + "\r\n";
+    static String get(String id, String extraHeaders) {
+        return "GET /board/7?x=1 HTTP/1.1\r\nHost: p\r\nX-Request-Id: " + id + "\r\n" + extraHeaders + "\r\n";
     }
 
-    static String post(String path, String id, String more) {
+    static String post(String path, String id, String extraHeaders) {
         return "POST " + path + " HTTP/1.1\r\nHost: p\r\nContent-Length: 0\r\nX-Request-Id: " + id + "\r\n"
-                + more + "\r\n";
+                + extraHeaders + "\r\n";
     }
 
     /** Sends one request on a connection of its own and returns the answer. */
@@ -256,10 +257,10 @@
         }
     }
 
-    private boolean ended() {
+    private boolean hasEnded() {
         try {
             return proxy.awaitEnd(0);
-        } catch (InterruptedException e) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return false;
         }
@@ -267,11 +268,11 @@
 
     @Override
     public void close() throws IOException {
-        if (proxy != null && !ended()) {
+        if (proxy != null && !hasEnded()) {
             proxy.stopNow();
         }
-        for (Closeable c : open) {
-            c.close();
+        for (Closeable resource : resources) {
+            resource.close();
         }
     }
 }
--- a/src/test/java/passhatch/proxy/SettingsTest.java
+++ b/src/test/java/passhatch/proxy/SettingsTest.java
@@ -49,7 +49,8 @@
     void wrongSettingsEndTheStartWithOneLine(String from, String to, String said) throws Exception {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         try (Rig rig = new Rig(folder)) {
-            assertEquals(2, ProxyServer.serve(rig.replace(from, to).environment(), new PrintStream(err)));
+            assertEquals(2, ProxyServer.serve(rig.replaceInConfig(from, to).environment(),
+                    new PrintStream(err)));
         }
         String text = err.toString(StandardCharsets.UTF_8);
         assertEquals(1, text.lines().count(), text);
@@ -63,9 +64,9 @@
             ScriptedServer backend = one.backend((connection, request) -> connection.respond("200 OK", "x"));
             String entry = Rig.entry("s", backend.address(), "SERVING");
             one.start(entry);
-            other.replace("\"name\":\"buy\"", "\"name\":\"board-fee\"")
-                    .replace("\"effect\":\"pure\"", "\"effect\":\"side_effect\"")
-                    .replace("\"name\":\"acme\"", "\"name\":\"acme-2\"").start(entry);
+            other.replaceInConfig("\"name\":\"buy\"", "\"name\":\"board-fee\"")
+                    .replaceInConfig("\"effect\":\"pure\"", "\"effect\":\"side_effect\"")
+                    .replaceInConfig("\"name\":\"acme\"", "\"name\":\"acme-2\"").start(entry);
             assertEquals(200, one.call(Rig.get("a", "X-Tenant: acme\r\n")).status());
             assertEquals(400, other.call(Rig.get("a", "")).status(), "it is unsafe there");
             assertEquals(200, other.call(Rig.post("/board", "b", "X-Tenant: acme-2\r\n")).status());
--- a/src/test/java/passhatch/proxy/ShutdownTest.java
+++ b/src/test/java/passhatch/proxy/ShutdownTest.java
@@ -45,7 +45,7 @@
                 }
                 connection.respond("200 OK", request.header("X-Request-Id"));
             });
-            rig.lines.add(Rig.list(8, true, Rig.entry("s", backend.address(), "SERVING")));
+            rig.discoveryLines.add(Rig.list(8, true, Rig.entry("s", backend.address(), "SERVING")));
             try (ProxyProcess proxy = new ProxyProcess(rig.environment())) {
                 HttpTestConnection held = HttpTestConnection.connect(proxy.address);
                 held.write(Rig.get("held", ""));
