--- a/src/main/java/passhatch/proxy/LoadReportParser.java
+++ b/src/main/java/passhatch/proxy/LoadReportParser.java
@@ -4,16 +4,22 @@
 import java.util.regex.Pattern;
 import passhatch.Balancer.LoadReport;
 
-/** Reads load reports such as {@code TEXT inflight=7, queue=2, util=0.61}. */
+/** Parses load reports of backends such as {@code TEXT inflight=7, queue=2, util=0.61}. */
 final class LoadReportParser {
 
     private static final Pattern FIELD = Pattern.compile("([a-z_0-9]+)=([0-9.eE+-]+)");
 
+    /** Largest value of a field; no server has that many requests in flight or queued. */
     private static final double MAX_FIELD_VALUE = 1e6;
 
     private LoadReportParser() { }
 
-    /** The report, or null where the text holds none. */
+    /**
+     * Parses a report. Unknown fields are ignored.
+     *
+     * @param text may be null
+     * @return the report, with -1 for fields that are missing; null if there is no field or an invalid value
+     */
     static LoadReport parse(String text) {
         if (text == null) {
             return null;
@@ -30,7 +36,7 @@
             } catch (NumberFormatException malformed) {
                 return null;
             }
-            // Guards the module's sums: no server holds so many, and what is no number counts as no report.
+            // NaN, negative and absurdly large values would corrupt the sums in the decision module.
             if (!(value >= 0 && value <= MAX_FIELD_VALUE)) {
                 return null;
             }
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -40,49 +40,57 @@
 import passhatch.proxy.SendGuard.WriteConditions;
 
 /**
- * The only caller of the decision module: tells it what happens and does what it asks. It holds the state of
- * the requests taken and sees to it that each gets exactly one final answer in time.
+ * Connects the decision module to clients, backends and discovery. It is the module's only caller: it reports
+ * events to the module and executes the actions that the module requests. It holds the state of all accepted
+ * requests and makes sure that each gets exactly one final response before its deadline. All methods run in
+ * the proxy's event loop.
  */
 final class ProxyLoop implements Actions, Discovery.Listener {
 
     /**
-     * How long before its client's time is up a request ends here: the answer has to travel, and the loop may
-     * be late.
+     * A request's deadline here is this long before its client's time-out, because the response takes time to
+     * reach the client and the event loop may run late.
      */
     private static final long RESPONSE_MARGIN_US = 20_000;
-    /** How long after that the answer is given here if the module has given none. */
+    /** Delay after a request's deadline until it gets a response here if the module has requested none. */
     private static final long FALLBACK_DELAY_US = 5_000;
     /**
-     * A probe is given up after this: a load that old is no longer true, and the module takes the time of
-     * each answer into the mean that it waits for.
+     * Time-out of a load probe. A load report that is older is out of date, and the module includes the
+     * latency of each probe in the mean that it waits for.
      */
     private static final long PROBE_TIMEOUT_US = 50_000;
 
-    /** Where the final answer of a request goes. */
+    /** The client's side of a request, which takes the final response. */
     interface Responder {
+        /** Takes the complete final response. */
         void respond(ProxyResponse response);
 
         /**
-         * Takes an answer as it comes, in place of {@link #respond}.
+         * Starts a streamed final response, in place of {@link #respond}.
          *
-         * @param contentLength of it, or -1
-         * @param resumeReading called when more may be given after the sink was not writable
+         * @param contentLength length of its body in bytes, or -1 if it is not known
+         * @param resumeReading called when the sink becomes writable after it was not
+         * @return the sink for the parts of the body
          */
         AnswerSink startStream(long contentLength, Runnable resumeReading);
 
-        /** Whether the client is seen to be there; where it may have left unseen it is not. */
+        /** Whether the client is known to be connected; false also if its disconnect may be undetected. */
         boolean isClientPresent();
     }
 
-    /** A backend at its address, from when it is listed until it is gone and nothing is out there. */
+    /**
+     * A backend process at its address. It is kept from when it is listed until it is off the list and has no
+     * attempt or probe in flight.
+     */
     private static final class Backend {
         final Target target;
         final long startedAtUs;
+        /** Whether discovery lists it as up, so neither draining nor removed. */
         boolean available;
-        /** Since when it is not up any more; the greatest value where it is. */
+        /** When it stopped being available; {@link Long#MAX_VALUE} if it is or never was available. */
         long unavailableSinceUs = Long.MAX_VALUE;
         boolean listed = true;
-        /** Attempts and probes out. */
+        /** Number of attempts and probes in flight. */
         int inFlight;
 
         Backend(Target target, long startedAtUs) {
@@ -99,12 +107,12 @@
             available = isAvailable;
         }
 
-        /** For how long it has not been up; negative where it is. */
+        /** How long it has been unavailable, in microseconds; -1 if it is or never was available. */
         long unavailableForUs(long nowUs) {
             return unavailableSinceUs == Long.MAX_VALUE ? -1 : nowUs - unavailableSinceUs;
         }
 
-        /** Whether it is the process that listens at the address since then. */
+        /** Whether the id, address and start time given are those of this process. */
         boolean isSameProcess(Target otherTarget, long otherStartedAtUs) {
             return target.equals(otherTarget) && startedAtUs == otherStartedAtUs;
         }
@@ -123,14 +131,20 @@
     private final Map<String, Exchange> exchanges = new HashMap<>();
     private final Map<String, Backend> backends = new HashMap<>();
     private final ArrayDeque<ModuleEvent> events = new ArrayDeque<>();
+    /** Whether a call to the module is on the stack; events then wait in {@link #events}. */
     private boolean moduleRunning;
     private final Readiness readiness;
+    /** Requests without a final response, or whose streamed response has not ended. */
     private int pendingRequests;
-    /** Of these, the ones that are still coming in. */
+    /** The pending requests whose body has not been received completely. */
     private int incompleteRequests;
     private Runnable onIdle = () -> { };
 
-    /** Something to tell the module. */
+    /**
+     * A call to the module that is due.
+     *
+     * @param exchange the request that it concerns, or null
+     */
     private record ModuleEvent(Exchange exchange, Runnable delivery) { }
 
     ProxyLoop(EventLoop loop, Clock clock, EventLog log, ProxyConfig config, BackendPool pool,
@@ -156,18 +170,18 @@
         return readiness;
     }
 
-    /** The figures as of now. */
+    /** The current metrics as text, one per line. */
     String counters() {
         return metrics.text(pendingRequests - incompleteRequests, balancer.serverCounts(clock.nowUs()),
                 List.of(discovery.calls()::metrics, guard::metrics));
     }
 
-    /** Whether a list ever named the backend. */
+    /** Whether any list from discovery has ever named the backend, or an operator has disabled it. */
     boolean isKnownBackend(String backend) {
         return balancer.knows(backend);
     }
 
-    /** Takes a backend out by hand, or back. */
+    /** Disables or enables a backend on behalf of an operator. */
     void setDisabled(String backend, boolean disabled) {
         notifyModule(null, () -> {
             if (disabled) {
@@ -178,7 +192,7 @@
         });
     }
 
-    /** Calls back when no request is unanswered, at once where none is. */
+    /** Calls back whenever no request is pending any more, and at once if none is pending now. */
     void whenIdle(Runnable callback) {
         onIdle = callback;
         if (pendingRequests == 0) {
@@ -186,20 +200,22 @@
         }
     }
 
+    /** Stops watching discovery. */
     void stop() {
         discovery.stop();
     }
 
+    /** Moves the watch to another address of discovery. */
     void setDiscoveryAddress(InetSocketAddress address) {
         discovery.moveTo(address);
     }
 
-    // ---- what happens
+    // ---- events for the module
 
     private void applyCachedList(EndpointList cachedList) {
         updateBackends(cachedList);
-        notifyModule(null, () ->
-                balancer.serversChanged(clock.nowUs(), ListKind.CACHED, cachedList.servers()));
+        notifyModule(null,
+                () -> balancer.serversChanged(clock.nowUs(), ListKind.CACHED, cachedList.servers()));
     }
 
     @Override
@@ -216,9 +232,10 @@
     }
 
     /**
-     * Takes in what discovery says. A backend that is gone stays known only until its last attempt has ended:
-     * ever new ones come, and what nobody forgets grows for good. One at another address, or with another
-     * start, than before is another process: what is open to the one before is of no use.
+     * Applies a list from discovery to the backends. A removed backend is kept only until its last attempt
+     * has ended, because new ones are added all the time and the map would otherwise grow without bound. A
+     * backend with another address or start time than before is another process, so idle connections to the
+     * previous one are closed.
      */
     private void updateBackends(EndpointList list) {
         if (list.whole()) {
@@ -280,7 +297,7 @@
         });
     }
 
-    /** Takes a request; false where one with its id is still held. */
+    /** Accepts a request and reports it to the module; false if a request with its id is still open. */
     boolean accept(ProxyRequest request, Responder responder) {
         long nowUs = clock.nowUs();
         Exchange exchange = new Exchange(request, responder,
@@ -296,23 +313,24 @@
         }
         notifyModule(exchange, () -> {
             long deliveredAtUs = clock.nowUs();
-            balancer.request(deliveredAtUs,
-                    new Request(request.id(), request.requestClass(), request.tenant(),
-                    Math.max(0, exchange.deadlineUs - deliveredAtUs), request.expectedWorkUs(),
-                    request.clientRetry(),
-                    exchange.incomplete));
+            balancer.request(deliveredAtUs, new Request(request.id(), request.requestClass(),
+                    request.tenant(), Math.max(0, exchange.deadlineUs - deliveredAtUs),
+                    request.expectedWorkUs(),
+                    request.clientRetry(), exchange.incomplete));
         });
         return true;
     }
 
     private void startFallbackTimer(Exchange exchange) {
-        exchange.fallbackTimer =
-                loop.schedule(() -> respondInPlaceOfModule(exchange),
+        exchange.fallbackTimer = loop.schedule(() -> respondInPlaceOfModule(exchange),
                 Math.max(0, exchange.deadlineUs - clock.nowUs()) + FALLBACK_DELAY_US,
                 TimeUnit.MICROSECONDS);
     }
 
-    /** The last byte of a request has come in that was taken before: its time counts from now on. */
+    /**
+     * Called when the last byte of a request has arrived that was accepted before it was complete. Its
+     * client's time-out counts from now.
+     */
     void requestComplete(String id) {
         Exchange exchange = exchanges.get(id);
         if (exchange == null || !exchange.incomplete) {
@@ -333,8 +351,7 @@
                 }
             }
         }
-        notifyModule(exchange,
-                () -> balancer.requestComplete(clock.nowUs(), id,
+        notifyModule(exchange, () -> balancer.requestComplete(clock.nowUs(), id,
                 Math.max(0, exchange.deadlineUs - clock.nowUs())));
     }
 
@@ -343,7 +360,7 @@
         exchange.incomplete = false;
     }
 
-    /** Part of a request's body went out that is not held: it cannot be sent again whole. */
+    /** Called when part of a request's body was sent that is not buffered, so no retry can send all of it. */
     void bodyDiscarded(String id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null) {
@@ -351,18 +368,18 @@
         }
     }
 
-    /** The client has closed its connection: no answer is owed any more. */
+    /** Called when the client has disconnected, so that its request needs no response any more. */
     void clientGone(String id) {
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.responded) {
             boolean wasIncomplete = exchange.incomplete;
             markResponded(exchange);
             if (exchange.streamedAttempt != null && exchange.streamedAttempt.handle != null) {
-                // It is the client's: the module has nothing to call off any more.
+                // The module no longer controls an attempt whose response is streamed to the client.
                 exchange.streamedAttempt.handle.cancel();
             }
             if (wasIncomplete) {
-                // No attempt can come to be whole, whether or not attempts may be called off.
+                // No attempt can receive the complete body, so all end even if settings forbid cancelling.
                 exchange.attempts.stream().filter(a -> a.handle != null).forEach(a -> a.handle.cancel());
             }
             notifyModule(exchange, () -> balancer.clientGone(clock.nowUs(), id));
@@ -370,11 +387,14 @@
         }
     }
 
-    /** Guards against a request that the module holds too long: it is answered here, just in time. */
+    /**
+     * Ends a request for which the module has requested no response in time: with 502 if an attempt may have
+     * run, else with 503.
+     */
     private void respondInPlaceOfModule(Exchange exchange) {
         if (!exchange.responded && exchange.streamedAttempt == null) {
-            log.line(Kind.REQUEST,
-                    "request " + exchange.request.id() + " was not answered in time by the module");
+            log.line(Kind.REQUEST, "request " + exchange.request.id()
+                    + " got no response from the decision module in time; the proxy ends it itself");
             respond(exchange, exchange.mayHaveRun() ? ProxyResponse.failed() : ProxyResponse.refused(0));
             notifyModule(exchange, () -> balancer.clientGone(clock.nowUs(), exchange.request.id()));
             removeIfFinished(exchange);
@@ -382,9 +402,9 @@
     }
 
     /**
-     * Ends all that is open, as this process is about to: nothing taken may stay without an answer. Long
-     * answers that move go on; cut off here they would be lost for certain. One that hangs is broken off:
-     * then its client can tell, and the kill would leave it with nothing.
+     * Ends all open requests shortly before this process is killed, so that none stays without a response.
+     * Streamed responses that make progress continue, because aborting them here would certainly lose them.
+     * One that is stalled is aborted, so that its client detects the failure before the process is killed.
      */
     void terminateAll() {
         for (Exchange exchange : List.copyOf(exchanges.values())) {
@@ -402,8 +422,7 @@
         long elapsedUs = (streamed ? exchange.streamStartedAtUs : clock.nowUs()) - attempt.sentAtUs;
         if (streamed && !exchange.responded) {
             metrics.ended(exchange.request.requestClass(),
-                    result.outcome() == Outcome.OK ? Figures.End.SUCCESS
-                    : Figures.End.ERROR);
+                    result.outcome() == Outcome.OK ? Figures.End.SUCCESS : Figures.End.ERROR);
             markResponded(exchange);
             if (result.outcome() != Outcome.OK) {
                 exchange.sink.broken();
@@ -417,13 +436,17 @@
             log.line(Kind.ATTEMPT, "attempt " + attempt.number + " of " + exchange.request.id() + " at "
                     + attempt.server + ": " + result.outcome() + " after " + elapsedUs + " us");
         }
-        notifyModule(exchange,
-                () -> balancer.outcome(clock.nowUs(), exchange.request.id(), attempt.number, attempt.server,
-                result.outcome(), elapsedUs, requestEnded, result.report()));
+        notifyModule(exchange, () -> balancer.outcome(clock.nowUs(), exchange.request.id(), attempt.number,
+                attempt.server, result.outcome(), elapsedUs, requestEnded, result.report()));
         removeIfFinished(exchange);
     }
 
-    /** The answer to an attempt is too long to be held: from now on it is the client's, as it comes. */
+    /**
+     * Starts to stream the response of an attempt to the client, because it is too long or too slow to be
+     * buffered.
+     *
+     * @return the sink for the parts of the response; null if the request already has a response
+     */
     private AnswerSink startStream(Exchange exchange, Attempt attempt, long contentLength,
             Runnable resumeReading) {
         if (exchange.responded || exchange.streamedAttempt != null) {
@@ -435,16 +458,16 @@
             exchange.fallbackTimer.cancel(false);
         }
         exchange.sink = exchange.responder.startStream(contentLength, resumeReading);
-        notifyModule(exchange,
-                () -> balancer.streamStarted(clock.nowUs(), exchange.request.id(), attempt.number,
-                attempt.server,
-                exchange.streamStartedAtUs - attempt.sentAtUs));
+        notifyModule(exchange, () -> balancer.streamStarted(clock.nowUs(), exchange.request.id(),
+                attempt.number, attempt.server, exchange.streamStartedAtUs - attempt.sentAtUs));
         return exchange.sink;
     }
 
     /**
-     * Tells the module of an event, after those before it. The module must not be called from within one of
-     * its actions, so what an action brings about at once waits here until the module has returned.
+     * Reports an event to the module, after all earlier ones. The module must not be called from within one
+     * of its actions, so an event that an action causes directly is queued until the module has returned.
+     *
+     * @param exchange the request that the event concerns, or null; it fails if the module throws
      */
     private void notifyModule(Exchange exchange, Runnable delivery) {
         events.add(new ModuleEvent(exchange, delivery));
@@ -466,7 +489,7 @@
         moduleRunning = false;
     }
 
-    // ---- what the module asks for
+    // ---- actions of the module
 
     @Override
     public void send(String id, String server, long timeoutUs) {
@@ -474,7 +497,8 @@
         Exchange exchange = exchanges.get(id);
         Backend backend = backends.get(server);
         if (exchange == null) {
-            log.line(Kind.ATTEMPT, "send of " + id + " to " + server + ": the request is not known");
+            log.line(Kind.ATTEMPT, "the decision module asked to send request " + id + " to " + server
+                    + ", but no such request is open; nothing is sent");
             return;
         }
         if (!exchange.attempts.isEmpty()) {
@@ -492,8 +516,9 @@
             return;
         }
         long attemptDeadlineUs = nowUs + attemptTimeoutUs;
-        // Guards against a connection that comes up late: one to a backend that was told to drain, or that
-        // has gone or was taken out, in the meantime is sent nothing, and neither is what is over by then.
+        // The connection may be established late. Just before the attempt is written, the guard checks again
+        // that the request is open, that its time is not up, and that its backend has not been drained,
+        // removed or disabled in the meantime.
         attempt.handle = sendTo(backend,
                 new Outgoing(() -> buildCheckedMessage(exchange, attempt, backend, attemptDeadlineUs),
                 exchange.request.body(),
@@ -517,16 +542,16 @@
                 });
     }
 
-    /** The message of an attempt, which is written at once and held against the rules. */
+    /** Builds the message of an attempt that is about to be written, after the guard's check of the rules. */
     private HttpRequest buildCheckedMessage(Exchange exchange, Attempt attempt, Backend backend,
             long attemptDeadlineUs) {
         long nowUs = clock.nowUs();
         boolean othersMayHaveRun = exchange.attempts.stream().filter(other -> other != attempt)
                 .anyMatch(other -> other.outcome == null || !other.outcome.provesNotRun);
         guard.checkWritten(new SendGuard.Attempt(exchange.request.id(), attempt.server,
-                backend.unavailableForUs(nowUs),
-                classes.get(exchange.request.requestClass()).effect(), othersMayHaveRun, attempt.number + 1,
-                attemptDeadlineUs - nowUs, exchange.deadlineUs + RESPONSE_MARGIN_US - nowUs));
+                backend.unavailableForUs(nowUs), classes.get(exchange.request.requestClass()).effect(),
+                othersMayHaveRun, attempt.number + 1, attemptDeadlineUs - nowUs,
+                exchange.deadlineUs + RESPONSE_MARGIN_US - nowUs));
         return buildMessage(exchange.request, attemptDeadlineUs);
     }
 
@@ -538,7 +563,7 @@
         return backend.available && !balancer.isDisabled(backend.target.id());
     }
 
-    /** The whole message, or the head of one whose body follows as it comes. */
+    /** Builds the complete message, or only its head if the body is streamed after it. */
     private HttpRequest buildMessage(ProxyRequest request, long attemptDeadlineUs) {
         RequestBody body = request.body();
         boolean fullyBuffered = body.isComplete() && !body.exceedsBuffer();
@@ -647,9 +672,9 @@
         log.line(Kind.MODULE, text);
     }
 
-    // ---- requests
+    // ---- state of requests
 
-    /** Gives the one final answer. */
+    /** Sends the final response, which must be the only one. */
     private void respond(Exchange exchange, ProxyResponse response) {
         metrics.ended(exchange.request.requestClass(), response.category());
         markResponded(exchange);
@@ -672,24 +697,26 @@
         }
     }
 
-    /** A request is remembered until its last attempt has ended, as the module is told of that too. */
+    /** Removes a request once its last attempt has ended, because the module is told of that end too. */
     private void removeIfFinished(Exchange exchange) {
         if (exchange.responded && exchange.attempts.stream().allMatch(a -> a.outcome != null)) {
             exchanges.remove(exchange.request.id(), exchange);
         }
     }
 
-    /** A request from its arrival to the end of its last attempt. */
+    /** A request, from when it is accepted to the end of its last attempt. */
     private static final class Exchange {
         final ProxyRequest request;
         final Responder responder;
         final List<Attempt> attempts = new ArrayList<>(2);
+        /** When its final response is due here, {@link #RESPONSE_MARGIN_US} before its client's time-out. */
         long deadlineUs;
-        /** Not all of it is in. */
+        /** Whether its body has not been received completely. */
         boolean incomplete;
         Future<?> fallbackTimer;
+        /** Whether it needs no response any more; with a streamed response, whether that has ended. */
         boolean responded;
-        /** The attempt whose long answer is the client's; null where there is none. */
+        /** The attempt whose response is streamed to the client, or null. */
         Attempt streamedAttempt;
         long streamStartedAtUs;
         AnswerSink sink;
@@ -700,7 +727,7 @@
             this.deadlineUs = deadlineUs;
         }
 
-        /** Its attempts so far, in words. */
+        /** Servers and outcomes of its attempts so far, as the end of a log line. */
         String describeAttempts() {
             StringBuilder text = new StringBuilder(" after");
             for (Attempt attempt : attempts) {
@@ -710,18 +737,21 @@
             return attempts.isEmpty() ? " before any attempt" : text.toString();
         }
 
+        /** Whether any attempt may have run, as far as the outcomes prove. */
         boolean mayHaveRun() {
             return attempts.stream().anyMatch(a -> a.outcome == null || !a.outcome.provesNotRun);
         }
     }
 
-    /** One attempt; its handle is null where it was never sent. */
+    /** An attempt of a request. */
     private static final class Attempt {
         final int number;
         final String server;
-        /** When it was sent, or when the last byte of the request came in after that. */
+        /** When it was sent, or when the last byte of the request arrived if that was later. */
         long sentAtUs;
+        /** Null if it was never sent. */
         Handle handle;
+        /** Null while it is in flight. */
         Outcome outcome;
 
         Attempt(int number, String server, long sentAtUs) {
--- a/src/main/java/passhatch/proxy/ProxyResponse.java
+++ b/src/main/java/passhatch/proxy/ProxyResponse.java
@@ -4,37 +4,43 @@
 import java.math.BigDecimal;
 
 /**
- * A final answer.
+ * A complete final response to a client.
  *
- * @param retryAfter the value of Retry-After, or null
+ * @param retryAfter value of the Retry-After header in seconds, possibly with a fraction, or null
  */
 record ProxyResponse(HttpResponseStatus status, String retryAfter, byte[] body) {
 
     private static final byte[] NO_BODY = {};
 
+    /** A 200 response. */
     static ProxyResponse ok(byte[] body) {
         return new ProxyResponse(HttpResponseStatus.OK, null, body);
     }
 
-    /** Promises that trying again is harmless. */
+    /**
+     * A 503 response, which guarantees that the request did not run and so may safely be sent again.
+     *
+     * @param retryAfterUs when to send it again, from now; no Retry-After header if it is not positive
+     */
     static ProxyResponse refused(long retryAfterUs) {
         String seconds = retryAfterUs <= 0 ? null
                 : BigDecimal.valueOf(retryAfterUs, 6).stripTrailingZeros().toPlainString();
         return new ProxyResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, seconds, NO_BODY);
     }
 
-    /** Promises nothing. */
+    /** A 502 response, which does not tell whether the request ran. */
     static ProxyResponse failed() {
         return new ProxyResponse(HttpResponseStatus.BAD_GATEWAY, null, NO_BODY);
     }
 
-    /** What it counts as. */
+    /** The category under which metrics count it. */
     Figures.End category() {
         return status.equals(HttpResponseStatus.OK) ? Figures.End.SUCCESS
                 : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Figures.End.OVERLOAD
                 : Figures.End.ERROR;
     }
 
+    /** A response without a body. */
     static ProxyResponse withStatus(HttpResponseStatus status) {
         return new ProxyResponse(status, null, NO_BODY);
     }
--- a/src/main/java/passhatch/proxy/RequestBody.java
+++ b/src/main/java/passhatch/proxy/RequestBody.java
@@ -7,33 +7,34 @@
 import java.util.Deque;
 
 /**
- * The body of one request on its way from the client to a backend. Its first bytes are held, so that it can
- * be sent again while there are no more; what follows passes through at the pace of whoever receives it.
+ * The body of one request, forwarded from the client to a backend. Up to {@link #MAX_BUFFERED_BYTES} are
+ * buffered, so that a body that is no longer can be sent again. The rest of a longer body is streamed: it is
+ * read from the client only as fast as the backend takes it.
  */
 final class RequestBody {
 
-    /** The bytes that are held: a request with no more is sent once it is whole. */
+    /** Bytes that are buffered. A request with a body that is no longer is sent once it is complete. */
     static final int MAX_BUFFERED_BYTES = 1 << 16;
     private static final int INITIAL_CAPACITY_BYTES = 1 << 9;
 
-    /** The attempt that is being written. */
+    /** The attempt to which the body is written. */
     interface Receiver {
-        /** Takes bytes, and the duty to release them. */
+        /** Writes bytes; the receiver must release them. */
         void write(ByteBuf bytes);
 
-        /** The body is whole. */
+        /** Called once all of the body has been written. */
         void end();
 
-        /** Whether more may be given now. */
+        /** Whether more may be written now. */
         boolean isWritable();
     }
 
-    /** The client's side. */
+    /** The client's side of the body. */
     interface Source {
-        /** More may be read. */
+        /** Called when more may be read from the client. */
         void resumeReading();
 
-        /** Bytes that are not held went out: it cannot be sent again whole. */
+        /** Called when bytes were sent that are not buffered, so that the body cannot be sent again. */
         void bodyDiscarded();
     }
 
@@ -42,19 +43,25 @@
     private Source source;
     private byte[] buffer = {};
     private int bufferedBytes;
+    /** Bytes reserved in the budget, which is the capacity of the buffer. */
     private int reservedBytes;
-    /** Bytes beyond those held, until there is a receiver: no more than one read brings. */
+    /**
+     * Parts that did not fit the buffer, until there is a receiver. As reading pauses then, they are no more
+     * than one read brings.
+     */
     private final Deque<ByteBuf> overflow = new ArrayDeque<>();
     private boolean complete;
+    /** Whether parts were sent that are not buffered, and the buffer was released. */
     private boolean discarded;
+    /** Whether the body will not be sent any more. */
     private boolean dropped;
     private Receiver receiver;
     private boolean endWritten;
 
     /**
-     * A body of which nothing is in.
+     * Creates a body of which nothing has been received.
      *
-     * @param declaredLength as told by its head, or -1
+     * @param declaredLength length in bytes according to the request's head, or -1 if it is not known
      */
     RequestBody(BodyBudget budget, long declaredLength) {
         this.budget = budget;
@@ -65,25 +72,27 @@
         source = newSource;
     }
 
+    /** The length in bytes according to the request's head, or -1 if it is not known. */
     long declaredLength() {
         return declaredLength;
     }
 
+    /** Whether all of it has been received. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Whether there is more of it than is held, so that it cannot wait until it is whole. */
+    /** Whether more has been received than is buffered, so that sending cannot wait for the rest. */
     boolean exceedsBuffer() {
         return discarded || !overflow.isEmpty();
     }
 
-    /** Whether the client must not be read now. */
+    /** Whether no more may be read from the client until the receiver has taken what there is. */
     boolean mustPauseReading() {
         return exceedsBuffer() && (receiver == null || !receiver.isWritable());
     }
 
-    /** Takes more of it; false where no memory is left to hold it. */
+    /** Adds a part and forwards it if there is a receiver; false if the memory budget is used up. */
     boolean add(ByteBuf part) {
         int partBytes = part.readableBytes();
         if (dropped || partBytes == 0) {
@@ -118,7 +127,7 @@
         return true;
     }
 
-    /** All of it is in. */
+    /** Called when all of it has been received. */
     void end() {
         complete = true;
         endIfComplete();
@@ -131,33 +140,38 @@
         }
     }
 
-    /** Whether an attempt can be given all of it: nothing is lost, and no other attempt is in the middle. */
+    /** Whether all of it can be sent: nothing was discarded and no other attempt is receiving it. */
     boolean canBeSent() {
         return !discarded && !dropped && receiver == null;
     }
 
-    /** Gives it to an attempt, from its first byte on. */
+    /**
+     * Starts to write it to an attempt, from its first byte.
+     *
+     * @throws IllegalStateException if it cannot be sent, see {@link #canBeSent()}
+     */
     void attach(Receiver newReceiver) {
         if (!canBeSent()) {
-            throw new IllegalStateException("it cannot be sent again whole");
+            throw new IllegalStateException("the request body cannot be sent: part of it was discarded, its"
+                    + " request has ended, or another attempt is receiving it");
         }
         receiver = newReceiver;
         endWritten = false;
         if (bufferedBytes > 0) {
-            // Bytes that are held never change; more may only come behind them.
+            // Buffered bytes never change, more are only appended, so the receiver needs no copy.
             newReceiver.write(Unpooled.wrappedBuffer(buffer, 0, bufferedBytes));
         }
         resume();
     }
 
-    /** The attempt has ended: it gets no more. */
+    /** Stops writing to an attempt that has ended. */
     void detach(Receiver formerReceiver) {
         if (receiver == formerReceiver) {
             receiver = null;
         }
     }
 
-    /** The attempt may be given more. */
+    /** Called when the receiver is able to take more. */
     void resume() {
         writeOverflow();
         endIfComplete();
@@ -166,7 +180,7 @@
         }
     }
 
-    /** Passes on what is not held. From then on the held part is of no use. */
+    /** Writes the parts that are not buffered. The buffer is released then, as no retry can use it. */
     private void writeOverflow() {
         boolean anyWritten = false;
         while (receiver != null && !overflow.isEmpty()) {
@@ -189,7 +203,7 @@
         bufferedBytes = 0;
     }
 
-    /** Lets go of all of it: it will not be sent any more. */
+    /** Releases all of it, because it will not be sent any more. */
     void drop() {
         dropped = true;
         receiver = null;
@@ -198,12 +212,12 @@
         releaseBuffer();
     }
 
-    /** How many bytes are held. */
+    /** Number of bytes that are buffered. */
     int bufferedBytes() {
         return bufferedBytes;
     }
 
-    /** What is held, where that is all of it. */
+    /** A copy of the buffered bytes, which are the complete body unless {@link #exceedsBuffer()}. */
     byte[] bufferedContent() {
         return Arrays.copyOf(buffer, bufferedBytes);
     }
--- a/src/main/java/passhatch/proxy/ResponseDecoder.java
+++ b/src/main/java/passhatch/proxy/ResponseDecoder.java
@@ -4,29 +4,30 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.util.AsciiString;
 
-/** Netty's decoder of answers, held to the letter where it is lenient. */
+/** Netty's decoder of responses, with a strict check of header lines where Netty is lenient. */
 final class ResponseDecoder extends HttpResponseDecoder {
 
+    /** Largest part of a body that the decoder emits. */
     private static final int MAX_CHUNK_BYTES = 1 << 15;
 
-    /** A decoder that hands bodies on in parts as large as they are read. */
+    /** Creates a decoder that emits bodies in parts as large as a read from the socket brings. */
     ResponseDecoder() {
         super(new HttpDecoderConfig().setMaxChunkSize(MAX_CHUNK_BYTES));
     }
 
     /**
-     * Guards against a spoilt head: of a line with no colon after its first word the decoder would make a
-     * header, and what follows such a head is not the answer that the backend meant.
+     * Rejects a header line without a colon after its first word. Netty would make a header of it, but a
+     * response with such a head is corrupt and must not be forwarded.
      */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
-            throw new IllegalArgumentException("a header line without a colon");
+            throw new IllegalArgumentException("header line of a response has no colon after its name");
         }
         return super.splitHeaderName(line, start, length);
     }
 
-    /** Whether bytes have come in that are no part of any answer yet. */
+    /** Whether bytes have been received that the decoder has not decoded yet. */
     boolean hasUndecodedBytes() {
         return actualReadableBytes() > 0;
     }
--- a/src/main/java/passhatch/proxy/ResponseReader.java
+++ b/src/main/java/passhatch/proxy/ResponseReader.java
@@ -13,27 +13,28 @@
 import passhatch.proxy.BackendPool.Result;
 
 /**
- * Puts a backend's answer to one request together and says what it counts as.
+ * Assembles a backend's response to one request from the decoder's parts and determines its outcome.
  *
- * <p>Guards against spoilt answers. Whatever is not plainly a whole answer counts as an error: the request
- * may have run, and the connection, which stands, says nothing against the backend.
+ * <p>A response that is malformed counts as {@link Outcome#ERROR}: the request may have run, and as the
+ * connection was not lost, it is not counted as a connection failure of the backend.
  */
 final class ResponseReader {
 
-    /** A longer answer is passed on as it comes. */
+    /** Bytes of a body that are buffered. A 200 response with a longer body is streamed. */
     static final int MAX_BUFFERED_BYTES = 1 << 16;
-    /** None is longer: what tells of more is spoilt. */
+    /** Largest body in bytes. A response that declares a longer one is malformed. */
     static final long MAX_BODY_BYTES = RequestReader.MAX_BODY_BYTES;
-    /** Interim answers before the final one; a backend that sends more will not come to an end. */
+    /** Interim (1xx) responses before the final one; a backend that sends more would never end. */
     private static final int MAX_INTERIM_RESPONSES = 16;
 
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
     private HttpResponse head;
     private int interimResponses;
     private boolean malformed;
+    /** Whether the result was given before the end of the response. */
     private boolean truncated;
 
-    /** Takes the next part; gives the result once the answer is whole or spoilt, until then null. */
+    /** Reads the next part. Returns the result once the response is complete or malformed, else null. */
     Result read(HttpObject part) throws IOException {
         if (part instanceof HttpResponse response) {
             head = response;
@@ -45,7 +46,7 @@
         if (part instanceof HttpContent content) {
             content.content().readBytes(body, content.content().readableBytes());
             if (body.size() > MAX_BUFFERED_BYTES && !isOk()) {
-                // Its status says it all, and nobody wants the rest.
+                // The status determines the outcome, and the body of an error response is not forwarded.
                 truncated = true;
                 return toResult();
             }
@@ -61,16 +62,17 @@
         return toResult();
     }
 
-    /** Whether some of an answer is in that is too long to be held. */
+    /** Whether part of the body of a 200 response has arrived that is known to be too long to buffer. */
     boolean exceedsBuffer() {
         return hasBodyBytes() && (contentLength() > MAX_BUFFERED_BYTES || body.size() > MAX_BUFFERED_BYTES);
     }
 
-    /** Whether some of an answer is in that may turn out to be long. */
+    /** Whether part of the body of a 200 response of unknown length has arrived. */
     boolean mayExceedBuffer() {
         return hasBodyBytes() && contentLength() < 0;
     }
 
+    /** Whether part of the body of a 200 response is buffered. */
     private boolean hasBodyBytes() {
         return head != null && isOk() && body.size() > 0;
     }
@@ -79,26 +81,29 @@
         return head.status().equals(HttpResponseStatus.OK);
     }
 
-    /** As told by its head, or -1. */
+    /** Length of the body in bytes according to the head, or -1 if it is not known. */
     long contentLength() {
         return HttpUtil.isTransferEncodingChunked(head) ? -1 : HttpUtil.getContentLength(head, -1L);
     }
 
-    /** What is in of an answer that is passed on as it comes from now on. */
+    /** Removes and returns the buffered part of the body, when the response is streamed from now on. */
     byte[] takeBufferedBody() {
         byte[] bytes = body.toByteArray();
         body.reset();
         return bytes;
     }
 
-    /** Whether the connection can carry another request after this answer. */
+    /** Whether the connection can be reused for another request after this response. */
     boolean isKeepAlive() {
         return !malformed && !truncated && HttpUtil.isKeepAlive(head)
                 && (contentLength() >= 0 || hasNoBody(head)
                 || HttpUtil.isTransferEncodingChunked(head));
     }
 
-    /** Whether nothing good can follow this head: nothing was asked that a change of protocol answers. */
+    /**
+     * Whether the head makes the response malformed: another major version of HTTP, a body that is too large,
+     * or a switch of protocols, which no request asks for.
+     */
     private static boolean isUnacceptable(HttpResponse head) {
         return head.protocolVersion().majorVersion() != 1
                 || HttpUtil.getContentLength(head, 0L) > MAX_BODY_BYTES
@@ -117,11 +122,12 @@
         if (status.equals(HttpResponseStatus.OK)) {
             return new Result(Outcome.OK, body.toByteArray(), report);
         }
-        // Without the header a 503 or 504 may come from a tier behind, after the request ran.
+        // Without this header a 503 or 504 may come from a tier behind the backend, after the request ran.
         boolean notRun = (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                 || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
                 && "1".equals(head.headers().get("X-Not-Run"));
-        // Guards the means to repeat: a caller's fault would be sent to one backend after the other.
+        // A request that is itself invalid would fail on one backend after the other and use up the retry
+        // budget, so a client error is a separate outcome.
         boolean clientError = status.codeClass() == HttpStatusClass.CLIENT_ERROR
                 && !status.equals(HttpResponseStatus.REQUEST_TIMEOUT)
                 && !status.equals(HttpResponseStatus.TOO_MANY_REQUESTS);
--- a/src/main/java/passhatch/proxy/ResponseStream.java
+++ b/src/main/java/passhatch/proxy/ResponseStream.java
@@ -15,20 +15,20 @@
 import java.util.ArrayDeque;
 
 /**
- * An answer that is passed on to its client as it comes. On a connection with several requests it waits for
- * the answers before it; until its turn comes it is not writable, so its backend is not read on.
+ * A response that is streamed to its client. On a connection with pipelined requests it waits for the
+ * responses before it. Until it starts it is not writable, so no more is read from its backend.
  */
 final class ResponseStream implements BackendPool.AnswerSink {
 
-    /** The connection's side. */
+    /** The client connection that the response is written to. */
     interface Owner {
-        /** Its last byte is in. */
+        /** Called when the last byte has been received from the backend. */
         void streamCompleted();
 
-        /** It will not come to its end, and nothing of it has been written. */
+        /** Called when the response failed before any of it was written to the client. */
         void streamFailedBeforeStart();
 
-        /** It will not come to its end: the connection has to end as well, or the client would wait. */
+        /** Called when it failed after its start. The connection must be closed, or the client would wait. */
         void streamFailed();
     }
 
@@ -37,20 +37,21 @@
     private final long contentLength;
     private final Runnable resumeReading;
     private final Owner owner;
-    /** What has come before its turn has: no more than one read brings. */
+    /** Parts received before the start. They are no more than one read brings. */
     private final ArrayDeque<ByteBuf> pendingParts = new ArrayDeque<>();
     private boolean started;
+    /** Whether no more will come from the backend, after success or failure. */
     private boolean ended;
     private boolean failed;
     private boolean released;
     private boolean keepAlive;
 
     /**
-     * A stream whose turn has not come.
+     * Creates a stream that has not started.
      *
-     * @param version of the client: one of 1.0 knows no chunks
-     * @param contentLength of the answer, or -1
-     * @param resumeReading has the backend read on after this was not writable
+     * @param version HTTP version of the client; a client of HTTP/1.0 does not support chunks
+     * @param contentLength length of the body in bytes, or -1 if it is not known
+     * @param resumeReading resumes reading from the backend after this stream was not writable
      */
     ResponseStream(Channel channel, HttpVersion version, long contentLength, Runnable resumeReading,
             Owner owner) {
@@ -83,7 +84,10 @@
         owner.streamCompleted();
     }
 
-    /** The client can tell: the length, or the last chunk, is missing, or the connection is reset. */
+    /**
+     * Fails the response in a way that the client can detect: bytes of the declared length or the last chunk
+     * are missing, or, if the body ends with the connection, the connection is reset.
+     */
     @Override
     public void broken() {
         failed = true;
@@ -103,16 +107,17 @@
         return started;
     }
 
+    /** Whether no more will come from the backend, after success or failure. */
     boolean isEnded() {
         return ended;
     }
 
-    /** Whether all of it is in, with nothing lost. */
+    /** Whether all of it has been received and nothing was lost. */
     boolean isComplete() {
         return ended && !failed && !released;
     }
 
-    /** Whether its connection may carry another answer. */
+    /** Whether the client connection may carry another response after it; valid once it has started. */
     boolean isKeepAlive() {
         return keepAlive;
     }
@@ -125,7 +130,10 @@
         return contentLength < 0 && version.equals(HttpVersion.HTTP_1_1);
     }
 
-    /** Its turn has come; once it has, nothing more happens. */
+    /**
+     * Writes the head and the parts received so far, once all earlier responses have been written. Has no
+     * effect on a stream that has started.
+     */
     void start(boolean mayKeepAlive) {
         if (started) {
             return;
@@ -149,18 +157,19 @@
         resumeIfWritable();
     }
 
-    /** The connection may be able to take more. */
+    /** Resumes reading from the backend if the client connection is writable. */
     void resumeIfWritable() {
         if (isWritable() && !ended) {
             resumeReading.run();
         }
     }
 
-    /** Writes its end. */
+    /** Writes the end of the body. */
     ChannelFuture writeLastContent() {
         return channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
+    /** Releases the parts not written and discards all later ones. */
     void release() {
         released = true;
         pendingParts.forEach(ByteBuf::release);
--- a/src/test/java/passhatch/proxy/LargeBodiesTest.java
+++ b/src/test/java/passhatch/proxy/LargeBodiesTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import passhatch.proxy.HttpTestConnection.Message;
 
-/** Bodies and answers that are too long to be held, over loopback sockets. */
+/** Request and response bodies that are too long to be buffered, over loopback sockets. */
 @Timeout(90)
 final class LargeBodiesTest {
 
@@ -56,16 +56,17 @@
         rig.close();
     }
 
-    /** The rest of a request whose first line has been read. */
+    /** Reads the rest of a request whose first line has been read and returns its body. */
     private static byte[] readBody(HttpTestConnection from) throws IOException {
         return readBody(from, false);
     }
 
+    /** Reads the rest of a response whose first line has been read and returns its body. */
     private static byte[] readResponse(HttpTestConnection from) throws IOException {
         return readBody(from, true);
     }
 
-    /** Reads headers and then the body as they say; only an answer may end with its connection. */
+    /** Reads headers and a body framed as they say; only that of a response may end with the connection. */
     private static byte[] readBody(HttpTestConnection from, boolean isResponse) throws IOException {
         long length = -1;
         boolean chunked = false;
@@ -87,7 +88,7 @@
         while (true) {
             String line = from.readLine();
             if (line == null) {
-                throw new EOFException("no last chunk");
+                throw new EOFException("connection ended before the last chunk");
             }
             int size = Integer.parseInt(line.split(";")[0].strip(), 16);
             body.write(readExactly(from, size));
@@ -104,17 +105,17 @@
     private static byte[] readExactly(HttpTestConnection from, int size) throws IOException {
         byte[] read = from.input().readNBytes(size);
         if (read.length < size) {
-            throw new EOFException("cut off after " + read.length);
+            throw new EOFException("connection ended before the end of the body; bytes read: " + read.length);
         }
         return read;
     }
 
-    /** Does something with a connection whose request's first line has been read. */
+    /** How a backend handles a request whose first line has been read. */
     private interface Behaviour {
         void act(HttpTestConnection connection, String start) throws IOException, InterruptedException;
     }
 
-    /** A backend that sees to its bodies itself. */
+    /** Starts a backend whose behaviour reads request bodies itself. */
     private ServerSocket backend(Behaviour behaviour) throws IOException {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         ScriptedServer.daemon(() -> {
@@ -128,12 +129,12 @@
                                 behaviour.act(connection, start);
                             }
                         } catch (IOException | InterruptedException ended) {
-                            // Tests look at what came.
+                            // Tests check what was received, not how connections end.
                         }
                     });
                 }
             } catch (IOException closed) {
-                // The test is over.
+                // Closed at the end of the test.
             }
         });
         return listener;
@@ -180,10 +181,10 @@
         assertEquals("taken", client.read().text());
         assertArrayEquals(content, nextBody());
         client.write(Rig.get("r2", ""));
-        assertEquals("taken", client.read().text(), "the connection is used on");
+        assertEquals("taken", client.read().text(), "the connection must stay usable");
     }
 
-    /** Of no length that its head tells; with what chunks may carry. */
+    /** A body of unknown length, with chunk extensions, a trailer and an expectation of 100. */
     @Test
     void forwardsALargeChunkedBodyUnchanged() throws Exception {
         rig.start(up("s", backendThatReadsBodies()));
@@ -197,7 +198,7 @@
         assertArrayEquals(content, nextBody());
     }
 
-    /** The backend hears of a long body before it is whole, or it would have to be held. */
+    /** The backend gets the start of a large body before the end arrives, or all must be buffered. */
     @Test
     void forwardsALargeBodyBeforeItIsComplete() throws Exception {
         CountDownLatch requestReceived = new CountDownLatch(1);
@@ -248,7 +249,7 @@
         }
     }
 
-    /** A client of HTTP/1.0 knows no chunks: its answer ends with the connection. */
+    /** HTTP/1.0 has no chunks, so a response of unknown length ends with the connection. */
     @Test
     void sendsAnHttp10ClientAResponseThatEndsWithTheConnection() throws Exception {
         start((connection, start) -> {
@@ -263,7 +264,7 @@
         assertArrayEquals(content, readResponse(client));
     }
 
-    /** All of it has come from the backend, but a slow client has not taken all of it yet. */
+    /** The backend has sent all of the response, but a slow client has not read all of it yet. */
     @Test
     void shutdownWaitsUntilALargeResponseIsDelivered() throws Exception {
         CountDownLatch written = new CountDownLatch(1);
@@ -292,7 +293,7 @@
         }
         HttpTestConnection idleClient = rig.client();
         rig.proxy().shutDown();
-        assertNull(idleClient.read(), "idle connections are closed");
+        assertNull(idleClient.read(), "shutdown must close idle connections");
         assertEquals(totalBytes - readBytes, client.input().readNBytes(totalBytes - readBytes).length);
         assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
         client.close();
@@ -305,7 +306,7 @@
         }
     }
 
-    /** Its first bytes are passed on while the rest has yet to come. */
+    /** The backend sends the rest only after the client has read the first byte. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 100000", "Transfer-Encoding: chunked"})
     void forwardsTheFirstBytesOfAResponseBeforeTheLast(String framing) throws Exception {
@@ -332,7 +333,7 @@
         assertEquals('b', client.input().readNBytes(chunked ? 6 : 1)[chunked ? 5 : 0]);
     }
 
-    /** Where a client reads nothing, its backend is not read either: memory does not grow with the answer. */
+    /** While a client does not read, its backend is not read either, so memory use stays bounded. */
     @Test
     void aClientThatDoesNotReadPausesItsBackend() throws Exception {
         AtomicLong written = new AtomicLong();
@@ -353,13 +354,13 @@
             lastWritten = written.get();
             Thread.sleep(300);
         }
-        assertTrue(lastWritten < totalBytes, "all of it was taken though nobody reads");
+        assertTrue(lastWritten < totalBytes, "the proxy read all though its client read nothing");
         client.readLine();
         assertEquals(totalBytes, readResponse(client).length);
         client.close();
     }
 
-    /** A connection with little room of its own, to the proxy. */
+    /** A connection to the proxy whose receive buffer takes only a small part of a response. */
     private Socket socketWithSmallReceiveBuffer() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(1 << 14);
@@ -388,7 +389,7 @@
         assertTrue(backendDisconnected.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
-    /** The client can tell that it is not whole, however it was framed. */
+    /** The client detects that a response was cut off, however its body is framed. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 5000000", "Transfer-Encoding: chunked", "X-None: 1"})
     void clientsCanTellThatAResponseIsTruncated(String framing) throws Exception {
@@ -402,7 +403,7 @@
                 connection.write(Arrays.copyOf(content, 100_000));
             }
             if (framing.startsWith("X")) {
-                // What has not been read yet may be lost with a reset.
+                // A reset may discard data that the proxy has not read yet.
                 Thread.sleep(400);
             }
             connection.reset();
@@ -412,10 +413,10 @@
         client.write(Rig.get("r1", ""));
         client.readLine();
         assertThrows(IOException.class, () -> readResponse(client));
-        assertEquals(1, receivedBodies.size(), "once bytes went out nothing is repeated");
+        assertEquals(1, receivedBodies.size(), "no retry once response bytes have been forwarded");
     }
 
-    /** While what went out is held, a failed attempt says nothing against another. */
+    /** As long as all bytes that were sent are buffered, a failed attempt can be retried. */
     @Test
     void retriesALargeBodyIfTheFirstBackendIsUnreachable() throws Exception {
         ServerSocket unreachable = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -433,7 +434,7 @@
         }
     }
 
-    /** The rest of the body is gone by then: another backend could only get a part of it. */
+    /** Bytes that were sent are no longer buffered, so another backend would get only a part of the body. */
     @Test
     void doesNotRetryALargeBodyThatIsNoLongerBuffered() throws Exception {
         Behaviour resetting = (connection, start) -> {
@@ -448,16 +449,16 @@
             try {
                 client.write(content);
             } catch (IOException closed) {
-                // It need not take the rest.
+                // The proxy may close the connection before it has read the rest.
             }
         });
         Message response = client.read();
         assertTrue(response.status() >= 500, response.startLine());
-        assertEquals("close", response.header("Connection"), "the rest of the request is not wanted");
+        assertEquals("close", response.header("Connection"), "the rest of the body must not be waited for");
         assertEquals(1, receivedBodies.size());
     }
 
-    /** A backend may answer before it has all: that is its answer, and nothing waits for the rest. */
+    /** A backend may refuse a request before it has all of it; that response is forwarded at once. */
     @Test
     void forwardsAnErrorResponseThatPrecedesTheEndOfTheBody() throws Exception {
         start((connection, start) -> connection.write("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\n"
@@ -467,7 +468,7 @@
         assertEquals(503, client.read().status());
     }
 
-    /** A backend starts on a request when it has all of it: nobody knows whose answer that is. */
+    /** Backends process only complete requests, so an early 200 may belong to another request. */
     @Test
     void discardsAnOkResponseThatPrecedesTheEndOfTheBody() throws Exception {
         start((connection, start) -> connection.respond("200 OK", "another's"));
@@ -476,7 +477,7 @@
         assertEquals(502, client.read().status());
     }
 
-    /** It can never be whole, so it may be called off where the settings do not allow that for others. */
+    /** The request can never become complete, so it is cancelled even if settings forbid cancelling. */
     @Test
     void cancelsAnUploadWhoseClientDisconnects() throws Exception {
         CountDownLatch uploadStarted = new CountDownLatch(1);
@@ -497,7 +498,7 @@
         assertTrue(uploadEnded.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     }
 
-    /** Some bytes come ever again, so no stall shows; its request has its deadline all the same. */
+    /** A few bytes keep arriving, so no stall is detected, but the request's deadline still applies. */
     @Test
     void abortsASlowTrickledResponseAtItsDeadline() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
@@ -515,7 +516,7 @@
             received.write(nextByte);
         }
         over.countDown();
-        assertEquals(-1, nextByte, "it was not broken off");
+        assertEquals(-1, nextByte, "the response was not aborted");
         String text = received.toString(StandardCharsets.US_ASCII);
         assertTrue(text.startsWith("HTTP/1.1 200 ") && !text.contains("\r\n0\r\n"), text);
     }
@@ -532,8 +533,8 @@
         HttpTestConnection client = post("/move", "Content-Length: 0\r\n");
         long receivedBytes = 0;
         byte[] buffer = new byte[1 << 16];
-        for (int count = client.input().read(buffer); count >= 0
-                && receivedBytes < 40L << 20; count = client.input().read(buffer)) {
+        for (int count = client.input().read(buffer); count >= 0 && receivedBytes < 40L << 20;
+                count = client.input().read(buffer)) {
             receivedBytes += count;
         }
         assertTrue(receivedBytes < 40L << 20);
@@ -559,7 +560,7 @@
         assertTrue(receivedBodies.isEmpty());
     }
 
-    /** Chunks tell no length beforehand. */
+    /** A chunked body declares no length, so its size is only known while it arrives. */
     @Test
     void abortsAChunkedBodyThatExceedsTheSizeLimit() throws Exception {
         CountDownLatch bodyTruncated = new CountDownLatch(1);
@@ -578,7 +579,7 @@
             }
             assertEquals(413, client.read().status());
         } catch (IOException closed) {
-            // It may be closed while there is more to send.
+            // The proxy may close the connection while the client is still sending.
         }
         assertTrue(bodyTruncated.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertTrue(receivedBodies.isEmpty());
@@ -588,7 +589,7 @@
         }
     }
 
-    /** The second answer stands behind the first, however long that is. */
+    /** The second response waits for the first, although its backend sends it earlier. */
     @Test
     void largeResponsesToPipelinedRequestsKeepTheirOrder() throws Exception {
         CountDownLatch secondStarted = new CountDownLatch(1);
--- a/src/test/java/passhatch/proxy/LateConnectionsTest.java
+++ b/src/test/java/passhatch/proxy/LateConnectionsTest.java
@@ -21,8 +21,9 @@
 import passhatch.LeastLoadedBalancer;
 
 /**
- * A connection that comes up when its request is over. The loop stands still from the step in which it begins
- * to connect, so that the next turn finds the connection up and the time passed.
+ * Connections to backends that are established after their request's time is up: nothing may be written to
+ * them. The event loop is blocked from the step in which it begins to connect, so that its next iteration
+ * finds the connection established and the time passed.
  */
 @Timeout(60)
 final class LateConnectionsTest {
@@ -59,7 +60,11 @@
         }
     }
 
-    /** Starts a proxy whose loop stands still right after it began to connect for that send. */
+    /**
+     * Starts a proxy whose event loop blocks right after it begins to connect for a send.
+     *
+     * @param blockingSend number of that send, from 1
+     */
     private void startBlockingLoop(int blockingSend) throws Exception {
         rig.module((settings, seed, actions) ->
                 new LeastLoadedBalancer(settings, seed, (Actions) Proxy.newProxyInstance(
@@ -68,8 +73,9 @@
                         Object result = method.invoke(actions, args);
                         if (method.getName().equals("send") && sends.incrementAndGet() == blockingSend) {
                             connecting.countDown();
-                            rig.proxy().inLoop(() ->
-                                    resumeLoop.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                            rig.proxy().inLoop(
+                                    () -> resumeLoop.await(HttpTestConnection.TIMEOUT_MS,
+                                    TimeUnit.MILLISECONDS));
                         }
                         return result;
                     } catch (InvocationTargetException wrapped) {
@@ -79,7 +85,7 @@
                         Rig.entry("t", second.address(), "SERVING"));
     }
 
-    /** Lets the time pass and the loop go on; gives the answer. */
+    /** Advances the proxy's clock, unblocks its event loop and returns the response. */
     private HttpTestConnection.Message resumeAfterMs(HttpTestConnection client, long delayMs)
             throws Exception {
         connecting.await();
@@ -97,7 +103,7 @@
         assertEquals(0, receivedRequests.get());
     }
 
-    /** Its first attempt may have run; the window in which a repeat is dropped is 9 s. */
+    /** The first attempt may have run, and servers drop duplicates of its key for 9 s only. */
     @ParameterizedTest
     @CsvSource({"9100, 1", "5000, 2"})
     void writesNoRetryAfterTheDedupWindow(long delayMs, int expectedRequests) throws Exception {
--- a/src/test/java/passhatch/proxy/ProxyServerTest.java
+++ b/src/test/java/passhatch/proxy/ProxyServerTest.java
@@ -28,7 +28,7 @@
 import passhatch.Balancer.Outcome;
 import passhatch.proxy.HttpTestConnection.Message;
 
-/** The whole proxy over loopback sockets, between scripted callers, backends and discovery. */
+/** Tests the complete proxy over loopback sockets, with scripted clients, backends and discovery. */
 @Timeout(60)
 final class ProxyServerTest {
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Where nothing has changed since the list that is remembered, a watch begins with an empty line. */
+    /** If nothing has changed since the cached list, discovery starts a watch with an empty line. */
     @Test
     void isReadyIfTheCachedListIsCurrent() throws Exception {
         rig.discoveryLines.add("");
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Discovery is down or never answers, and the configuration names the list known last. Where it is asked,
-     * the process serves with that list after 4 s; where lists are pushed it waits.
+     * Discovery is down or never responds, and the configuration contains the cached list. If the proxy asks
+     * discovery for changes, it serves with that list after 4 s; if discovery pushes lists, it waits.
      */
     @ParameterizedTest
     @CsvSource({"on_request, false, 200", "on_request, true, 200", "pushed, false, 503", "pushed, true, 503"})
@@ -130,7 +130,7 @@
         }
     }
 
-    /** A malformed head leaves no place to read on from. */
+    /** After a malformed head it is not known where the next request starts. */
     @Test
     void answersBytesThatAreNotHttpWith400AndCloses() throws Exception {
         rig.start();
@@ -173,7 +173,7 @@
         assertTrue(backend.received.isEmpty());
     }
 
-    /** A stranger that uses the id of an open request and leaves takes nothing from it. */
+    /** A client that reuses the id of an open request and disconnects must not cancel that request. */
     @Test
     void aRejectedDuplicateIdDoesNotAffectTheOriginalRequest() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -194,13 +194,12 @@
         assertEquals("mine", first.read().text());
     }
 
-    /** A client may not have more time than its class, and no guess may upset the module's means. */
+    /** A client gets no longer deadline than its class, and no cost hint may corrupt the module's means. */
     @ParameterizedTest
     @CsvSource({"1800000m, 1e300, 10000000, 0", "9999999u, Infinity, 9999999, 0", "5000m, NaN, 5000000, 0",
         "5000m, -7, 5000000, 0", "5000m, 10000001, 5000000, 0", "5000m, 300000.5, 5000000, 300000"})
     void boundsDeadlineAndCostHintOfClients(String deadline, String costHint, long maxTimeLeftUs,
-    long expectedWorkUs)
-            throws Exception {
+            long expectedWorkUs) throws Exception {
         BlockingQueue<Balancer.Request> accepted = new LinkedBlockingQueue<>();
         rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
             if (args[args.length - 1] instanceof Balancer.Request incoming) {
@@ -220,7 +219,7 @@
         assertNull(LoadReportParser.parse(text));
     }
 
-    /** A backend that is gone is forgotten; what is sent there all the same ends at once. */
+    /** The proxy forgets removed backends; an attempt that the module still sends to one ends at once. */
     @Test
     void anAttemptToAnUnknownBackendEndsAtOnce() throws Exception {
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
@@ -278,10 +277,10 @@
         client.write(Rig.post("/move", "slow", "X-Deadline: 1500m\r\n"));
         Message response = client.read();
         assertTrue((System.nanoTime() - startNs) / 1_000_000 < 1500);
-        assertEquals(502, response.status(), "an unsafe request that may have run is failed, not refused");
+        assertEquals(502, response.status(), "an unsafe request that may have run must not get a 503");
         backend.awaitEnded();
         client.write(Rig.get("next", ""));
-        assertEquals("quick", client.read().text(), "nothing more was written for the first");
+        assertEquals("quick", client.read().text(), "a second response was written for the first request");
     }
 
     @Test
@@ -298,7 +297,7 @@
         assertEquals(503, rig.call(Rig.post("/move/held", "held", "X-Deadline: 300m\r\n")).status());
     }
 
-    /** A request's time runs on while the loop is held up and reads nothing. */
+    /** A request's time-out runs while the event loop is blocked and reads nothing. */
     @Test
     void deductsTheTimeThatARequestWaitedUnread() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
@@ -324,7 +323,7 @@
         assertTrue(timesLeftUs.take() < 4_800_000);
     }
 
-    /** Its time counts from its last byte, however late in it that comes. */
+    /** Fragments arrive over a longer time than the deadline allows, but it counts from the last one. */
     @Test
     void theDeadlineOfAFragmentedRequestCountsFromItsLastByte() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "x"));
@@ -333,7 +332,7 @@
         String request = Rig.post("/move", "r", "X-Deadline: 1000m\r\n");
         for (int offset = 0; offset < request.length(); offset += 40) {
             client.write(request.substring(offset, Math.min(offset + 40, request.length())));
-            // Another's call is answered some turns of the loop later.
+            // Once another client's request is answered, the event loop has read the fragment.
             assertEquals(200, rig.call("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n").status());
             rig.advanceClock(300);
         }
@@ -350,7 +349,7 @@
         assertEquals("2", response.header("Retry-After"));
     }
 
-    /** A client told nothing comes again at once, and has used up its tries before anything has changed. */
+    /** Without Retry-After clients retry at once and run out of retries before the situation changes. */
     @Test
     void anImmediateRefusalHasRetryAfter() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> {
@@ -369,7 +368,7 @@
         assertTrue(seconds > 0 && seconds < 2, response.header("Retry-After"));
     }
 
-    /** A fault of the caller's must not use up what others need to be sent again. */
+    /** A client's invalid request must not use up the retry budget that other requests need. */
     @Test
     void doesNotRetryARequestThatABackendRejectedWith400() throws Exception {
         ScriptedServer.Script rejecting = (connection, request) -> connection.respond("400 Bad Request", "");
@@ -380,7 +379,7 @@
         assertEquals(1, first.received.size() + second.received.size());
     }
 
-    /** An answer that is lost must not cost the request: long overdue, it is asked for elsewhere too. */
+    /** If a response is lost, the request must not fail: once overdue, it is also sent to another backend. */
     @Test
     void hedgesAnOverdueRequestOnlyIfItMayRunTwice() throws Exception {
         BlockingQueue<String> receivedIds = new LinkedBlockingQueue<>();
@@ -430,7 +429,7 @@
         }
     }
 
-    /** The list changes between the send and the moment the connection is up. */
+    /** The list changes after the module has sent the attempt and before its connection is established. */
     @Test
     void nothingIsWrittenToABackendThatDrainsWhileConnecting() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", ""));
@@ -459,8 +458,9 @@
         rig.discoveryLines.add("{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":5}]}");
         rig.discoveryLines.add("not json");
         rig.discoveryLines.add(Rig.END_OF_WATCH);
-        assertTrue(rig.discovery().next().startLine().contains("from=8"), "bad lines do not count as heard");
-        assertEquals("s", rig.call(Rig.get("a", "")).text(), "the last list stays");
+        assertTrue(rig.discovery().next().startLine().contains("from=8"),
+                "invalid lines must not advance the version");
+        assertEquals("s", rig.call(Rig.get("a", "")).text(), "the last valid list must stay in use");
         ScriptedServer other = rig.backend((connection, request) -> connection.respond("200 OK", "t"));
         rig.discoveryLines.add(Rig.list(12, false, Rig.entry("s", backend.address(), "DELETED"),
                 up("t", other)));
@@ -520,12 +520,12 @@
                 : "served"));
         rig.limit("probes", true).start(up("s", backend));
         assertEquals("served", rig.call(Rig.get("a", "")).text());
-        // A call goes out without the answer to its probe where that is slow, so either may come first.
+        // A request does not wait for a slow probe, so either may arrive first.
         Message firstReceived = backend.next();
         boolean probeFirst = firstReceived.startLine().contains("/status/load");
         Message probe = probeFirst ? firstReceived : backend.next();
         assertEquals("GET /status/load HTTP/1.1", probe.startLine());
-        assertNull(probe.header("X-Request-Id"), "a probe is no request");
+        assertNull(probe.header("X-Request-Id"), "a probe must not have a request id");
     }
 
     @Test
--- a/src/test/java/passhatch/proxy/Rig.java
+++ b/src/test/java/passhatch/proxy/Rig.java
@@ -19,13 +19,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 import passhatch.proxy.HttpTestConnection.Message;
 
-/** A proxy under test with the discovery it watches. Lists of backends are handed in line by line. */
+/** Test fixture: a proxy with its configuration, its clock and a scripted discovery service. */
 final class Rig implements Closeable {
 
     private final Map<String, Object> limits = new HashMap<>(Map.of("maxAttempts", 3, "cancel", true,
             "mayDuplicate", true, "probes", false, "retryAfter", true, "maxRetryAfterUs", 2_000_000,
             "maxStreams", 1, "keepaliveUs", 10_000_000, "connectTimeoutUs", 8_000_000));
     private final List<Closeable> resources = new ArrayList<>();
+    /** Lines that discovery sends next, each a list of backends in JSON or one of the constants here. */
     final BlockingQueue<String> discoveryLines = new LinkedBlockingQueue<>();
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final Path folder;
@@ -36,15 +37,15 @@
     private String configuredDiscovery;
     private String console;
     private ProxyServer proxy;
-    /** How far the proxy's clock is ahead; its timers are not. */
+    /** Nanoseconds by which the proxy's clock is ahead; its timers still follow the system's clock. */
     private final AtomicLong clockOffsetNs = new AtomicLong();
-    /** Where the proxy's clock stands still, to be moved by the test alone; 0 where it runs. */
+    /** Time in nanoseconds at which the proxy's clock is frozen until a test advances it; 0 if it runs. */
     private long frozenAtNs;
     private ProxyServer.Module module = passhatch.LeastLoadedBalancer::new;
 
-    /** What the script puts into {@link #lines} to end a watch. */
+    /** An entry of {@link #discoveryLines} that ends the watch with a reset. */
     static final String END_OF_WATCH = "end";
-    /** And to have the next watch turned down, as its version is no longer known. */
+    /** An entry that answers the next watch with 410, because its version is no longer known. */
     static final String EXPIRED_VERSION = "forgotten";
 
     Rig(Path folder) throws IOException {
@@ -60,8 +61,8 @@
                 return;
             }
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            for (String line = discoveryLines.take(); !line.equals(END_OF_WATCH); line =
-                    discoveryLines.take()) {
+            for (String line = discoveryLines.take(); !line.equals(END_OF_WATCH);
+                    line = discoveryLines.take()) {
                 String text = line + "\n";
                 connection.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
             }
@@ -71,7 +72,7 @@
         configuredDiscovery = "127.0.0.1:" + discovery.address().getPort();
     }
 
-    /** Has the configuration say something else. */
+    /** Replaces a text in the configuration; writing the configuration fails if it does not occur. */
     Rig replaceInConfig(String text, String replacement) {
         configReplacements.put(text, replacement);
         return this;
@@ -112,24 +113,31 @@
         return server;
     }
 
+    /** An entry of a list of backends, in JSON. */
     static String entry(String name, InetSocketAddress address, String status) {
         return "{\"name\":\"" + name + "\",\"address\":\"127.0.0.1:" + address.getPort()
                 + "\",\"zone\":\"a\",\"type\":\"m\",\"group\":0,\"status\":\"" + status
                 + "\",\"weight\":1.0,\"since_ms\":0}";
     }
 
+    /**
+     * A list from discovery, in JSON.
+     *
+     * @param index version of the list
+     * @param snapshot true for a full list, false for changes
+     */
     static String list(int index, boolean snapshot, String... entries) {
         return "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":["
                 + String.join(",", entries) + "]}";
     }
 
-    /** The same once the file names another address of discovery. */
+    /** Writes a configuration that names another address of discovery; returns the environment. */
     Map<String, String> environmentWithDiscovery(String address) throws IOException {
         configuredDiscovery = address;
         return environment();
     }
 
-    /** The environment of a proxy whose known list is empty, with its configuration written. */
+    /** Writes the configuration, with an empty cached list, and returns the environment of a proxy. */
     Map<String, String> environment() throws IOException {
         Path file = folder.resolve("config.json");
         Map<String, Object> config = new HashMap<>(Map.of("seed", "00000000000000ff",
@@ -161,20 +169,20 @@
                 "worth", 1, "dedupWindowUs", 9_000_000, "group", "all");
     }
 
-    /** Starts the proxy and waits until it has the list. */
+    /** Starts the proxy and waits until it has received a list with the entries. */
     Rig start(String... entries) throws Exception {
         discoveryLines.add(list(8, true, entries));
         return start(environment());
     }
 
-    /** Starts the proxy with another discovery and waits until it has a list from there. */
+    /** Starts the proxy with another discovery service and waits until it has received a list from it. */
     Rig startWithDiscovery(InetSocketAddress discoveryAddress) throws Exception {
         Map<String, String> environment = new HashMap<>(environment());
         environment.put("PROXY_DISCOVERY", "127.0.0.1:" + discoveryAddress.getPort());
         return start(environment);
     }
 
-    /** The same, but waits for nothing. */
+    /** Starts the proxy with another discovery service without waiting for a list. */
     Rig startWithoutList(InetSocketAddress discoveryAddress) throws Exception {
         Map<String, String> environment = new HashMap<>(environment());
         environment.put("PROXY_DISCOVERY", "127.0.0.1:" + discoveryAddress.getPort());
@@ -194,6 +202,7 @@
         return this;
     }
 
+    /** Waits until the proxy at the address answers its readiness check with 200. */
     static void awaitReady(InetSocketAddress address) throws IOException, InterruptedException {
         long endNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         while (System.nanoTime() < endNs) {
@@ -205,27 +214,27 @@
             }
             Thread.sleep(5);
         }
-        throw new AssertionError("the proxy did not get ready");
+        throw new AssertionError("the proxy did not become ready in time");
     }
 
-    /** Waits until the log has a line with the text. */
+    /** Waits until the proxy's log contains the text. */
     void awaitLog(String text) throws InterruptedException {
         long endNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         while (!log.toString(StandardCharsets.UTF_8).contains(text)) {
             if (System.nanoTime() > endNs) {
-                throw new AssertionError("no line '" + text + "' in: " + log);
+                throw new AssertionError("the proxy's log did not contain '" + text + "' in time: " + log);
             }
             Thread.sleep(5);
         }
     }
 
-    /** To the proxy, no time passes but what the test says. */
+    /** Freezes the proxy's clock, so that only {@link #advanceClock} moves it. */
     Rig freezeClock() {
         frozenAtNs = System.nanoTime();
         return this;
     }
 
-    /** To the proxy, time passes in which it did nothing. */
+    /** Advances the proxy's clock, as if its event loop had been idle meanwhile. */
     void advanceClock(long ms) {
         clockOffsetNs.addAndGet(ms * 1_000_000);
     }
@@ -234,6 +243,7 @@
         return proxy;
     }
 
+    /** Opens a connection to the proxy, which is closed at the end of the test. */
     HttpTestConnection client() throws IOException {
         HttpTestConnection client = HttpTestConnection.connect(proxy.address());
         resources.add(client);
@@ -249,7 +259,7 @@
                 + extraHeaders + "\r\n";
     }
 
-    /** Sends one request on a connection of its own and returns the answer. */
+    /** Sends one request on a new connection and returns the response. */
     Message call(String request) throws IOException {
         try (HttpTestConnection client = HttpTestConnection.connect(proxy.address())) {
             client.write(request);
--- a/src/test/java/passhatch/proxy/ScriptedModule.java
+++ b/src/test/java/passhatch/proxy/ScriptedModule.java
@@ -4,14 +4,16 @@
 import java.util.function.BiConsumer;
 import passhatch.Balancer;
 
-/** A decision module of a test's own. */
+/** Creates decision modules whose reactions a test scripts. */
 final class ScriptedModule {
 
     private ScriptedModule() { }
 
     /**
-     * A module that does with each event, by its name and arguments, what the test says. It never has
-     * anything against what it sends.
+     * A module that passes each event to a handler. It allows each attempt to be sent, and answers any other
+     * query with false or null.
+     *
+     * @param eventHandler takes the name of the method called and its arguments
      */
     static Balancer of(BiConsumer<String, Object[]> eventHandler) {
         return (Balancer) Proxy.newProxyInstance(Balancer.class.getClassLoader(),
