--- a/src/main/java/passhatch/proxy/ClientServer.java
+++ b/src/main/java/passhatch/proxy/ClientServer.java
@@ -133,7 +133,7 @@
     /** Stops listening. Open connections and those already in the accept queue are served further. */
     void stopListening() {
         if (listener != null) {
-            listener.emptyAndClose();
+            listener.drainAndClose();
         }
     }
 
@@ -300,7 +300,7 @@
 
     /** Whether {@code /ready} is answered with 200. */
     boolean isReady() {
-        return proxy.readiness().isReady() && drainState.takesClients();
+        return proxy.readiness().isReady() && drainState.acceptsClients();
     }
 
     /**
@@ -309,7 +309,7 @@
      * meanwhile would have left by the time they are served.
      */
     boolean closesAfterLastResponse() {
-        return drainState.answersEndConnections()
+        return drainState.closesAfterResponse()
                 || connections.size() > maxConnections * KEEP_ALIVE_MAX_FRACTION;
     }
 
--- a/src/main/java/passhatch/proxy/Clock.java
+++ b/src/main/java/passhatch/proxy/Clock.java
@@ -11,7 +11,7 @@
 final class Clock {
 
     private final long originUs = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
-    private final LongSupplier nanos;
+    private final LongSupplier nanoTime;
     private final long originNs;
 
     Clock() {
@@ -19,13 +19,13 @@
     }
 
     /** A clock that follows the nanoseconds given. */
-    Clock(LongSupplier nanos) {
-        this.nanos = nanos;
-        this.originNs = nanos.getAsLong();
+    Clock(LongSupplier nanoTime) {
+        this.nanoTime = nanoTime;
+        this.originNs = nanoTime.getAsLong();
     }
 
     long nowUs() {
-        return originUs + (nanos.getAsLong() - originNs) / 1000;
+        return originUs + (nanoTime.getAsLong() - originNs) / 1000;
     }
 
     /** A Unix time in milliseconds on this clock; 0, which stands for long ago, stays 0. */
--- a/src/main/java/passhatch/proxy/Console.java
+++ b/src/main/java/passhatch/proxy/Console.java
@@ -36,19 +36,19 @@
 final class Console {
 
     /** Connections at a time: this part of the process's descriptors is the console's. */
-    static final int MOST_OPEN = 24;
-    private static final int BACKLOG = 128;
-    private static final int MOST_BODY = 1 << 13;
+    static final int MAX_CONNECTIONS = 24;
+    private static final int ACCEPT_BACKLOG = 128;
+    private static final int MAX_BODY_BYTES = 1 << 13;
     /** A call is whole within this time. */
-    private static final long MOST_STALL_MS = 2_000;
+    private static final long REQUEST_TIMEOUT_MS = 2_000;
     /** What was answered is closed after this, if the caller does not do it first. */
-    private static final long LINGER_MS = 500;
+    private static final long CLOSE_DELAY_MS = 500;
 
     private final EventLoop loop;
     private final EventLog log;
     private final ConsoleRoutes routes;
     /** In the order of connecting. */
-    private final Set<Caller> callers = new LinkedHashSet<>();
+    private final Set<Connection> connections = new LinkedHashSet<>();
     private Channel listener;
 
     Console(EventLoop loop, EventLog log, ConsoleRoutes routes) {
@@ -60,14 +60,14 @@
     /** Starts to listen and waits until it does. */
     InetSocketAddress listen(InetSocketAddress address) throws IOException, InterruptedException {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY),
-                                new Caller(channel));
+                        channel.pipeline().addLast(new HttpServerCodec(),
+                                new HttpObjectAggregator(MAX_BODY_BYTES), new Connection(channel));
                     }
                 }).bind(address).await();
         if (!bound.isSuccess()) {
@@ -83,80 +83,80 @@
         }
     }
 
-    private void makeRoom() {
-        while (callers.size() > MOST_OPEN) {
-            Caller spared = callers.stream().filter(c -> c.state != State.CALLED).findFirst()
-                    .orElseGet(() -> callers.iterator().next());
-            callers.remove(spared);
-            spared.channel.close();
+    private void evictExcessConnections() {
+        while (connections.size() > MAX_CONNECTIONS) {
+            Connection evicted = connections.stream().filter(c -> c.state != State.PROCESSING).findFirst()
+                    .orElseGet(() -> connections.iterator().next());
+            connections.remove(evicted);
+            evicted.channel.close();
         }
     }
 
-    private enum State { CONNECTED, CALLED, ANSWERED }
+    private enum State { AWAITING_REQUEST, PROCESSING, RESPONDED }
 
     /** One connection. */
-    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final SocketChannel channel;
-        private State state = State.CONNECTED;
+        private State state = State.AWAITING_REQUEST;
 
-        Caller(SocketChannel channel) {
+        Connection(SocketChannel channel) {
             this.channel = channel;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            callers.add(this);
-            makeRoom();
+            connections.add(this);
+            evictExcessConnections();
             loop.schedule(() -> {
-                if (state == State.CONNECTED) {
-                    reply(ConsoleRoutes.Reply.of(HttpResponseStatus.REQUEST_TIMEOUT));
+                if (state == State.AWAITING_REQUEST) {
+                    respond(ConsoleRoutes.Response.of(HttpResponseStatus.REQUEST_TIMEOUT));
                 }
-            }, MOST_STALL_MS, TimeUnit.MILLISECONDS);
+            }, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
-            if (state != State.CONNECTED) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+            if (state != State.AWAITING_REQUEST) {
                 return;
             }
-            state = State.CALLED;
-            if (call.decoderResult().isFailure() || call.protocolVersion().majorVersion() != 1) {
-                reply(ConsoleRoutes.Reply.of(HttpResponseStatus.BAD_REQUEST));
+            state = State.PROCESSING;
+            if (request.decoderResult().isFailure() || request.protocolVersion().majorVersion() != 1) {
+                respond(ConsoleRoutes.Response.of(HttpResponseStatus.BAD_REQUEST));
                 return;
             }
-            routes.call(call.method(), call.uri(), this::reply);
+            routes.handle(request.method(), request.uri(), this::respond);
         }
 
-        private void reply(ConsoleRoutes.Reply reply) {
-            if (state == State.ANSWERED) {
+        private void respond(ConsoleRoutes.Response response) {
+            if (state == State.RESPONDED) {
                 return;
             }
-            state = State.ANSWERED;
-            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    reply.status(), Unpooled.copiedBuffer(reply.text(), StandardCharsets.UTF_8));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
+            state = State.RESPONDED;
+            DefaultFullHttpResponse message = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+                    response.status(), Unpooled.copiedBuffer(response.text(), StandardCharsets.UTF_8));
+            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, message.content().readableBytes())
                     .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8")
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            if (reply.allowed() != null) {
-                response.headers().set(HttpHeaderNames.ALLOW, reply.allowed().name());
+            if (response.allowedMethod() != null) {
+                message.headers().set(HttpHeaderNames.ALLOW, response.allowedMethod().name());
             }
             // Closed at once, what the caller still sends could make a reset overtake the answer.
-            channel.writeAndFlush(response).addListener(done -> channel.shutdownOutput());
-            loop.schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
+            channel.writeAndFlush(message).addListener(done -> channel.shutdownOutput());
+            loop.schedule(() -> channel.close(), CLOSE_DELAY_MS, TimeUnit.MILLISECONDS);
         }
 
         /** A caller that ends its sending before its call is whole has nothing more to say. */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof ChannelInputShutdownEvent
-                    && state != State.CALLED) {
+                    && state != State.PROCESSING) {
                 channel.close();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            callers.remove(this);
+            connections.remove(this);
         }
 
         @Override
--- a/src/main/java/passhatch/proxy/ConsoleRoutes.java
+++ b/src/main/java/passhatch/proxy/ConsoleRoutes.java
@@ -10,29 +10,29 @@
 /** Which call of the console does what; see docs/console.md. */
 final class ConsoleRoutes {
 
-    private static final String CONTROL = "/control/";
-    private static final String BACKENDS = "backends/";
+    private static final String CONTROL_PREFIX = "/control/";
+    private static final String BACKENDS_PREFIX = "backends/";
 
     /** What staff can have done; everything happens on the loop. */
     interface Operations {
         /** Whether this process can serve. */
-        boolean ready();
+        boolean isReady();
 
         String counters();
 
-        boolean knows(String backend);
+        boolean isKnown(String backend);
 
         /** Takes a backend out, or back; then says whether that holds from now on. */
-        void setOut(String backend, boolean out, Consumer<Boolean> done);
+        void setDisabled(String backend, boolean disabled, Consumer<Boolean> onDone);
 
         /** Takes the proxy out of service, or back; then says whether that holds from now on. */
-        void setOutOfService(boolean out, Consumer<Boolean> done);
+        void setOutOfService(boolean outOfService, Consumer<Boolean> onDone);
     }
 
     /** An answer of the console: a status, a text and, with 405, the method that the path takes. */
-    record Reply(HttpResponseStatus status, String text, HttpMethod allowed) {
-        static Reply of(HttpResponseStatus status) {
-            return new Reply(status, status.reasonPhrase() + "\n", null);
+    record Response(HttpResponseStatus status, String text, HttpMethod allowedMethod) {
+        static Response of(HttpResponseStatus status) {
+            return new Response(status, status.reasonPhrase() + "\n", null);
         }
     }
 
@@ -43,66 +43,72 @@
     }
 
     /** Does what is asked, and replies once, at once or later. */
-    void call(HttpMethod method, String uri, Consumer<Reply> reply) {
+    void handle(HttpMethod method, String uri, Consumer<Response> respond) {
         String path;
         try {
             path = new QueryStringDecoder(uri).rawPath();
-        } catch (IllegalArgumentException bad) {
-            reply.accept(Reply.of(HttpResponseStatus.BAD_REQUEST));
+        } catch (IllegalArgumentException e) {
+            respond.accept(Response.of(HttpResponseStatus.BAD_REQUEST));
             return;
         }
-        String name = path.startsWith(CONTROL) ? path.substring(CONTROL.length()) : "";
-        switch (name) {
-            case "ready" -> read(method, reply, () -> Reply.of(operations.ready() ? HttpResponseStatus.OK
-                    : HttpResponseStatus.SERVICE_UNAVAILABLE));
-            case "counters" -> read(method, reply,
-                    () -> new Reply(HttpResponseStatus.OK, operations.counters(), null));
-            case "out-of-service" -> change(method, reply, done -> operations.setOutOfService(true, done));
-            case "in-service" -> change(method, reply, done -> operations.setOutOfService(false, done));
+        String operation = path.startsWith(CONTROL_PREFIX) ? path.substring(CONTROL_PREFIX.length()) : "";
+        switch (operation) {
+            case "ready" -> handleRead(method, respond,
+                    () -> Response.of(operations.isReady() ? HttpResponseStatus.OK
+                            : HttpResponseStatus.SERVICE_UNAVAILABLE));
+            case "counters" -> handleRead(method, respond,
+                    () -> new Response(HttpResponseStatus.OK, operations.counters(), null));
+            case "out-of-service" -> handleChange(method, respond,
+                    onDone -> operations.setOutOfService(true, onDone));
+            case "in-service" -> handleChange(method, respond,
+                    onDone -> operations.setOutOfService(false, onDone));
             default -> {
-                if (name.startsWith(BACKENDS)) {
-                    backend(method, name.substring(BACKENDS.length()), reply);
+                if (operation.startsWith(BACKENDS_PREFIX)) {
+                    handleBackend(method, operation.substring(BACKENDS_PREFIX.length()), respond);
                 } else {
-                    reply.accept(Reply.of(HttpResponseStatus.NOT_FOUND));
+                    respond.accept(Response.of(HttpResponseStatus.NOT_FOUND));
                 }
             }
         }
     }
 
     /** The call on one backend, such as {@code s-5be2a07c/offline}; the id is percent-encoded. */
-    private void backend(HttpMethod method, String rest, Consumer<Reply> reply) {
-        int slash = rest.indexOf('/');
-        String verb = rest.substring(slash + 1);
-        boolean out = verb.equals("offline");
-        if (slash < 1 || !out && !verb.equals("online")) {
-            reply.accept(Reply.of(HttpResponseStatus.NOT_FOUND));
+    private void handleBackend(HttpMethod method, String idAndAction, Consumer<Response> respond) {
+        int slash = idAndAction.indexOf('/');
+        String action = idAndAction.substring(slash + 1);
+        boolean disable = action.equals("offline");
+        if (slash < 1 || !disable && !action.equals("online")) {
+            respond.accept(Response.of(HttpResponseStatus.NOT_FOUND));
             return;
         }
         String id;
         try {
-            id = new QueryStringDecoder(rest.substring(0, slash), StandardCharsets.UTF_8, true).path();
-        } catch (IllegalArgumentException bad) {
-            reply.accept(Reply.of(HttpResponseStatus.BAD_REQUEST));
+            id = new QueryStringDecoder(idAndAction.substring(0, slash), StandardCharsets.UTF_8, true).path();
+        } catch (IllegalArgumentException e) {
+            respond.accept(Response.of(HttpResponseStatus.BAD_REQUEST));
             return;
         }
-        if (method.equals(HttpMethod.POST) && !operations.knows(id)) {
-            reply.accept(new Reply(HttpResponseStatus.NOT_FOUND, "no such backend was ever listed\n", null));
+        if (method.equals(HttpMethod.POST) && !operations.isKnown(id)) {
+            respond.accept(new Response(HttpResponseStatus.NOT_FOUND, "no such backend was ever listed\n",
+                    null));
             return;
         }
-        change(method, reply, done -> operations.setOut(id, out, done));
+        handleChange(method, respond, onDone -> operations.setDisabled(id, disable, onDone));
     }
 
-    private static void read(HttpMethod method, Consumer<Reply> reply, Supplier<Reply> get) {
-        reply.accept(method.equals(HttpMethod.GET) ? get.get()
-                : new Reply(HttpResponseStatus.METHOD_NOT_ALLOWED, "", HttpMethod.GET));
+    private static void handleRead(HttpMethod method, Consumer<Response> respond,
+            Supplier<Response> response) {
+        respond.accept(method.equals(HttpMethod.GET) ? response.get()
+                : new Response(HttpResponseStatus.METHOD_NOT_ALLOWED, "", HttpMethod.GET));
     }
 
-    private static void change(HttpMethod method, Consumer<Reply> reply, Consumer<Consumer<Boolean>> act) {
+    private static void handleChange(HttpMethod method, Consumer<Response> respond,
+            Consumer<Consumer<Boolean>> change) {
         if (!method.equals(HttpMethod.POST)) {
-            reply.accept(new Reply(HttpResponseStatus.METHOD_NOT_ALLOWED, "", HttpMethod.POST));
+            respond.accept(new Response(HttpResponseStatus.METHOD_NOT_ALLOWED, "", HttpMethod.POST));
             return;
         }
-        act.accept(holds -> reply.accept(Reply.of(holds ? HttpResponseStatus.OK
+        change.accept(applied -> respond.accept(Response.of(applied ? HttpResponseStatus.OK
                 : HttpResponseStatus.SERVICE_UNAVAILABLE)));
     }
 }
--- a/src/main/java/passhatch/proxy/Discovery.java
+++ b/src/main/java/passhatch/proxy/Discovery.java
@@ -94,13 +94,13 @@
         this.calls = new DiscoveryCalls(clock, log);
         this.random = new SplittableRandom(config.seed());
         this.zones = config.zones();
-        this.models = config.models();
+        this.models = config.machineTypes();
         this.address = config.discovery();
         this.listener = listener;
         this.onRequest = config.settings().watch();
-        this.index = config.known().index();
+        this.index = config.cachedList().index();
         // A list of version 0 is one to go on from, unless it is none.
-        this.whole = index == 0 && config.known().endpoints().isEmpty();
+        this.whole = index == 0 && config.cachedList().endpoints().isEmpty();
     }
 
     DiscoveryCalls calls() {
--- a/src/main/java/passhatch/proxy/DiscoveryCalls.java
+++ b/src/main/java/passhatch/proxy/DiscoveryCalls.java
@@ -123,14 +123,14 @@
     }
 
     /** Adds the metrics, one a line. */
-    void metrics(Figures.Lines lines) {
+    void metrics(Metrics.Sink lines) {
         lines.add("discovery_calls", calls);
         for (End how : End.values()) {
-            lines.add("discovery_ended." + Figures.lowerCase(how),
+            lines.add("discovery_ended." + Metrics.lowerCase(how),
                     ended.getOrDefault(how, 0L));
         }
         for (ServerStatus status : ServerStatus.values()) {
-            lines.add("servers_told." + Figures.lowerCase(status),
+            lines.add("servers_told." + Metrics.lowerCase(status),
                     changes.getOrDefault(status, 0L));
         }
         lines.add("discovery_failures_in_row", failuresInRow);
--- a/src/main/java/passhatch/proxy/DrainState.java
+++ b/src/main/java/passhatch/proxy/DrainState.java
@@ -14,77 +14,77 @@
      * After a call out of service: the front sends new connections for another 0.2 s after the first no, and
      * by then a client in use has had an answer that ends its connection.
      */
-    private static final long IDLE_ON_MS = 1_500;
+    private static final long IDLE_CLOSE_DELAY_MS = 1_500;
 
     private final EventLoop loop;
-    private boolean byHand;
-    private boolean ending;
-    private boolean answersEnd;
-    private boolean idleEnds;
-    private Future<?> next;
+    private boolean outOfService;
+    private boolean shuttingDown;
+    private boolean closeAfterResponse;
+    private boolean closeIdle;
+    private Future<?> closeIdleTimer;
 
     DrainState(EventLoop loop) {
         this.loop = loop;
     }
 
     /** Takes the proxy out of service; nothing changes where it is out already. */
-    void outOfService() {
-        if (byHand || ending) {
+    void takeOutOfService() {
+        if (outOfService || shuttingDown) {
             return;
         }
-        byHand = true;
-        answersEnd = true;
-        next = loop.schedule(() -> {
-            idleEnds = true;
-        }, IDLE_ON_MS, TimeUnit.MILLISECONDS);
+        outOfService = true;
+        closeAfterResponse = true;
+        closeIdleTimer = loop.schedule(() -> {
+            closeIdle = true;
+        }, IDLE_CLOSE_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Takes clients again; false where the process is about to end. */
-    boolean inService() {
-        if (ending) {
+    boolean returnToService() {
+        if (shuttingDown) {
             return false;
         }
-        if (byHand) {
-            byHand = false;
-            answersEnd = false;
-            idleEnds = false;
-            next.cancel(false);
+        if (outOfService) {
+            outOfService = false;
+            closeAfterResponse = false;
+            closeIdle = false;
+            closeIdleTimer.cancel(false);
         }
         return true;
     }
 
     /** The process is about to end: it says that it is not ready, and there is no way back. */
-    void end() {
-        ending = true;
+    void beginShutdown() {
+        shuttingDown = true;
     }
 
     /** Another process takes its clients: each answer sends one there. */
-    void sendAway() {
-        answersEnd = true;
+    void closeAfterResponses() {
+        closeAfterResponse = true;
     }
 
     /** And lets go of its clients: each answer ends its connection, and idle ones are closed. */
-    void letGo() {
-        answersEnd = true;
-        idleEnds = true;
+    void closeAfterResponsesAndIdle() {
+        closeAfterResponse = true;
+        closeIdle = true;
     }
 
-    boolean isEnding() {
-        return ending;
+    boolean isShuttingDown() {
+        return shuttingDown;
     }
 
     /** Whether new clients are welcome. */
-    boolean takesClients() {
-        return !byHand && !ending;
+    boolean acceptsClients() {
+        return !outOfService && !shuttingDown;
     }
 
     /** Whether the last answer that a connection owes ends it. */
-    boolean answersEndConnections() {
-        return answersEnd;
+    boolean closesAfterResponse() {
+        return closeAfterResponse;
     }
 
     /** Whether connections with nothing open are closed. */
     boolean closesIdle() {
-        return idleEnds;
+        return closeIdle;
     }
 }
--- a/src/main/java/passhatch/proxy/EventLog.java
+++ b/src/main/java/passhatch/proxy/EventLog.java
@@ -13,30 +13,30 @@
  */
 final class EventLog {
 
-    private static final int MOST_LINES = 5;
-    private static final int MOST_DISCOVERY_LINES = 60;
+    private static final int MAX_LINES_PER_WINDOW = 5;
+    private static final int MAX_FREQUENT_LINES_PER_WINDOW = 60;
     private static final long WINDOW_NS = TimeUnit.SECONDS.toNanos(10);
 
     /** What others can bring about as often as they like. */
     enum Kind {
-        REQUEST(MOST_LINES),
-        CLIENT(MOST_LINES),
-        EVICTION(MOST_LINES),
-        ATTEMPT(MOST_LINES),
-        BACKEND(MOST_LINES),
+        REQUEST(MAX_LINES_PER_WINDOW),
+        CLIENT(MAX_LINES_PER_WINDOW),
+        EVICTION(MAX_LINES_PER_WINDOW),
+        ATTEMPT(MAX_LINES_PER_WINDOW),
+        BACKEND(MAX_LINES_PER_WINDOW),
         /** What this proxy knows of the servers hangs on these, and the proxy itself sets their pace. */
-        DISCOVERY(MOST_DISCOVERY_LINES),
-        MODULE(MOST_LINES),
-        CONSOLE(MOST_LINES),
+        DISCOVERY(MAX_FREQUENT_LINES_PER_WINDOW),
+        MODULE(MAX_LINES_PER_WINDOW),
+        CONSOLE(MAX_LINES_PER_WINDOW),
         /** A rule was broken: a fault of this program. */
-        VIOLATION(MOST_DISCOVERY_LINES),
+        VIOLATION(MAX_FREQUENT_LINES_PER_WINDOW),
         /** The process did nothing for a while. */
-        STANDSTILL(MOST_LINES);
+        STANDSTILL(MAX_LINES_PER_WINDOW);
 
-        private final int mostLines;
+        private final int maxLinesPerWindow;
 
         Kind(int mostLines) {
-            this.mostLines = mostLines;
+            this.maxLinesPerWindow = mostLines;
         }
     }
 
@@ -44,7 +44,7 @@
     private static final class Window {
         long startNs = System.nanoTime();
         int lines;
-        int skipped;
+        int suppressed;
     }
 
     private final PrintStream out;
@@ -61,19 +61,19 @@
     /** A line of a kind that may come often. */
     void line(Kind kind, String text) {
         Window window = windows.computeIfAbsent(kind, k -> new Window());
-        long now = System.nanoTime();
-        if (now - window.startNs >= WINDOW_NS) {
-            if (window.skipped > 0) {
-                line(window.skipped + " more lines on " + kind + " were not written");
+        long nowNs = System.nanoTime();
+        if (nowNs - window.startNs >= WINDOW_NS) {
+            if (window.suppressed > 0) {
+                line(window.suppressed + " more lines on " + kind + " were not written");
             }
-            window.startNs = now;
+            window.startNs = nowNs;
             window.lines = 0;
-            window.skipped = 0;
+            window.suppressed = 0;
         }
-        if (window.lines++ < kind.mostLines) {
+        if (window.lines++ < kind.maxLinesPerWindow) {
             line(text);
         } else {
-            window.skipped++;
+            window.suppressed++;
         }
     }
 
--- a/src/main/java/passhatch/proxy/Handover.java
+++ b/src/main/java/passhatch/proxy/Handover.java
@@ -17,55 +17,56 @@
 final class Handover {
 
     /** How often the files are looked at: the other process waits for it before it says yes. */
-    private static final long LOOK_MS = 50;
+    private static final long POLL_INTERVAL_MS = 50;
     /** A yes waits so long for the other process to follow; one that hangs must not hold it back for good. */
-    private static final long MOST_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long MAX_CONFIRMATION_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(500);
 
     /** Hears what holds now. */
     interface Listener {
-        void set(SharedState state);
+        void stateChanged(SharedState state);
 
         /** Whether this process has the machine to itself. */
-        void alone(boolean alone);
+        void aloneChanged(boolean alone);
     }
 
     /** An answer that waits for the other process. */
-    private record Waiting(long version, long untilNs, Consumer<Boolean> done) { }
+    private record PendingChange(long version, long deadlineNs, Consumer<Boolean> onDone) { }
 
     private final EventLoop loop;
     private final EventLog log;
     private final Listener listener;
     /** Null where there is no place to keep anything: then all holds for this process alone. */
-    private final StateFolder folder;
-    private final List<Waiting> waiting = new ArrayList<>();
-    private List<StateFolder.Peer> peers = List.of();
-    private SharedState state = SharedState.NOTHING_SET;
+    private final StateDirectory directory;
+    private final List<PendingChange> pendingChanges = new ArrayList<>();
+    private List<StateDirectory.Peer> peers = List.of();
+    private SharedState state = SharedState.INITIAL;
     /** The text that was last read, not to complain of the same twice. */
-    private String read;
+    private String lastReadText;
     private boolean serving;
     private boolean alone = true;
-    private Future<?> looking;
+    private Future<?> pollTimer;
 
     /** Looks for other processes, and for what is set, once before it returns. */
-    Handover(EventLoop loop, EventLog log, Path place, String proxy, Listener listener) {
+    Handover(EventLoop loop, EventLog log, Path path, String proxyName, Listener listener) {
         this.loop = loop;
         this.log = log;
         this.listener = listener;
-        this.folder = open(place, proxy);
-        if (folder != null) {
-            look();
-            looking = loop.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        this.directory = openDirectory(path, proxyName);
+        if (directory != null) {
+            poll();
+            pollTimer = loop.scheduleWithFixedDelay(this::poll, POLL_INTERVAL_MS, POLL_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    private StateFolder open(Path place, String proxy) {
-        if (place == null) {
+    private StateDirectory openDirectory(Path path, String proxyName) {
+        if (path == null) {
             return null;
         }
         try {
-            return new StateFolder(place, proxy);
-        } catch (IOException | RuntimeException bad) {
-            log.line("handover: nothing can be kept in " + place + ": " + bad);
+            return new StateDirectory(path, proxyName);
+        } catch (IOException | RuntimeException e) {
+            log.line("handover: nothing can be kept in " + path + ": " + e);
             return null;
         }
     }
@@ -77,130 +78,131 @@
 
     /** Whether a process that started later serves: it takes all that this one leaves. */
     boolean hasSuccessor() {
-        look();
-        return peers.stream().anyMatch(p -> p.serving() && folder.isLater(p));
+        poll();
+        return peers.stream().anyMatch(p -> p.serving() && directory.startedAfterThis(p));
     }
 
     /** Tells the others that this process takes clients, or that it does not any more. */
-    void serving(boolean isServing) {
+    void setServing(boolean isServing) {
         serving = isServing;
-        show();
+        publishStatus();
     }
 
     /** Changes what is set; says yes once that is kept and the other process follows it too. */
-    void change(UnaryOperator<SharedState> edit, Consumer<Boolean> done) {
-        if (folder == null) {
-            follow(edit.apply(state));
-            done.accept(true);
+    void change(UnaryOperator<SharedState> update, Consumer<Boolean> onDone) {
+        if (directory == null) {
+            apply(update.apply(state));
+            onDone.accept(true);
             return;
         }
-        change(edit, done, System.nanoTime() + MOST_WAIT_NS);
+        change(update, onDone, System.nanoTime() + MAX_CONFIRMATION_WAIT_NS);
     }
 
-    private void change(UnaryOperator<SharedState> edit, Consumer<Boolean> done, long untilNs) {
-        try (AutoCloseable lock = folder.tryLock()) {
+    private void change(UnaryOperator<SharedState> update, Consumer<Boolean> onDone, long deadlineNs) {
+        try (AutoCloseable lock = directory.tryLock()) {
             if (lock == null) {
-                if (System.nanoTime() - untilNs >= 0) {
+                if (System.nanoTime() - deadlineNs >= 0) {
                     throw new IOException("another process holds the lock");
                 }
-                loop.schedule(() -> change(edit, done, untilNs), 2, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> change(update, onDone, deadlineNs), 2, TimeUnit.MILLISECONDS);
                 return;
             }
             readState();
             // Above what the other follows too: it may have read a file that this process could not.
-            long latest = peers.stream().mapToLong(StateFolder.Peer::follows)
+            long latestVersion = peers.stream().mapToLong(StateDirectory.Peer::appliedVersion)
                     .reduce(state.version(), Math::max);
-            SharedState next = edit.apply(state).withVersion(latest + 1);
-            folder.writeState(next);
-            follow(next);
-            look();
-            waiting.add(new Waiting(next.version(), untilNs, done));
-            answerWaiting();
-        } catch (Exception bad) {
-            log.line("handover: not kept, so it does not hold: " + bad);
-            done.accept(false);
+            SharedState changed = update.apply(state).withVersion(latestVersion + 1);
+            directory.writeState(changed);
+            apply(changed);
+            poll();
+            pendingChanges.add(new PendingChange(changed.version(), deadlineNs, onDone));
+            completePendingChanges();
+        } catch (Exception e) {
+            log.line("handover: not kept, so it does not hold: " + e);
+            onDone.accept(false);
         }
     }
 
-    private void look() {
-        if (folder == null) {
+    private void poll() {
+        if (directory == null) {
             return;
         }
         try {
             readState();
-            peers = folder.peers();
-        } catch (IOException | RuntimeException bad) {
-            log.line(EventLog.Kind.CONSOLE, "handover: " + bad);
+            peers = directory.peers();
+        } catch (IOException | RuntimeException e) {
+            log.line(EventLog.Kind.CONSOLE, "handover: " + e);
         }
         if (alone != peers.isEmpty()) {
             alone = peers.isEmpty();
             log.line(alone ? "handover: the other process is gone" : "handover: another process is here");
-            listener.alone(alone);
+            listener.aloneChanged(alone);
         }
-        answerWaiting();
+        completePendingChanges();
     }
 
     private void readState() throws IOException {
-        String text = folder.readState();
-        if (text == null || text.equals(read)) {
+        String text = directory.readState();
+        if (text == null || text.equals(lastReadText)) {
             return;
         }
-        read = text;
-        SharedState set;
+        lastReadText = text;
+        SharedState stored;
         try {
-            set = SharedState.of(text);
-        } catch (IOException | RuntimeException bad) {
+            stored = SharedState.fromJson(text);
+        } catch (IOException | RuntimeException e) {
             log.line("handover: what staff set cannot be read and is ignored: "
-                    + String.valueOf(bad.getMessage()).lines().findFirst().orElse(""));
+                    + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             if (state.version() > 0) {
                 // What this process follows still holds, and has to outlive it.
-                folder.writeState(state);
+                directory.writeState(state);
             }
             return;
         }
-        if (set.version() > state.version()) {
-            follow(set);
+        if (stored.version() > state.version()) {
+            apply(stored);
         }
     }
 
-    private void follow(SharedState set) {
-        state = set;
-        listener.set(set);
-        show();
+    private void apply(SharedState newState) {
+        state = newState;
+        listener.stateChanged(newState);
+        publishStatus();
     }
 
-    private void show() {
-        if (folder == null) {
+    private void publishStatus() {
+        if (directory == null) {
             return;
         }
         try {
-            folder.show(serving, state.version());
-        } catch (IOException bad) {
-            log.line(EventLog.Kind.CONSOLE, "handover: " + bad);
+            directory.publishStatus(serving, state.version());
+        } catch (IOException e) {
+            log.line(EventLog.Kind.CONSOLE, "handover: " + e);
         }
     }
 
-    private void answerWaiting() {
-        long now = System.nanoTime();
-        List<Waiting> over = new ArrayList<>();
-        waiting.removeIf(w -> isOver(w, now) && over.add(w));
-        over.forEach(w -> w.done().accept(true));
+    private void completePendingChanges() {
+        long nowNs = System.nanoTime();
+        List<PendingChange> completed = new ArrayList<>();
+        pendingChanges.removeIf(change -> isComplete(change, nowNs) && completed.add(change));
+        completed.forEach(change -> change.onDone().accept(true));
     }
 
-    private boolean isOver(Waiting w, long nowNs) {
-        return nowNs - w.untilNs() >= 0 || peers.stream().allMatch(p -> p.follows() >= w.version());
+    private boolean isComplete(PendingChange change, long nowNs) {
+        return nowNs - change.deadlineNs() >= 0
+                || peers.stream().allMatch(p -> p.appliedVersion() >= change.version());
     }
 
     /** Takes this process's signs away; what is set stays. */
     void close() {
-        if (folder == null) {
+        if (directory == null) {
             return;
         }
-        looking.cancel(false);
+        pollTimer.cancel(false);
         try {
-            folder.close();
-        } catch (IOException bad) {
-            log.line("handover: " + bad);
+            directory.close();
+        } catch (IOException e) {
+            log.line("handover: " + e);
         }
     }
 }
--- a/src/main/java/passhatch/proxy/HangUpSignal.java
+++ b/src/main/java/passhatch/proxy/HangUpSignal.java
@@ -21,17 +21,18 @@
      */
     static boolean onEach(Runnable action) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            InvocationHandler run = (self, method, args) -> {
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            InvocationHandler runAction = (self, method, args) -> {
                 action.run();
                 return null;
             };
-            Object before = signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"),
-                    Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, run));
-            return before != handler.getField("SIG_IGN").get(null);
-        } catch (ReflectiveOperationException none) {
+            Object previousHandler = signalClass.getMethod("handle", signalClass, handlerClass).invoke(null,
+                    signalClass.getConstructor(String.class).newInstance("HUP"),
+                    Proxy.newProxyInstance(handlerClass.getClassLoader(), new Class<?>[] {handlerClass},
+                            runAction));
+            return previousHandler != handlerClass.getField("SIG_IGN").get(null);
+        } catch (ReflectiveOperationException e) {
             return false;
         }
     }
--- a/src/main/java/passhatch/proxy/NettyDefaults.java
+++ b/src/main/java/passhatch/proxy/NettyDefaults.java
@@ -8,13 +8,13 @@
 
     private NettyDefaults() { }
 
-    static void set() {
+    static void apply() {
         // At the first buffer Netty would start the JDK's flight recorder for its own events: a third of a
         // start's processor time, whether anybody records or not.
-        unlessSet("io.netty.jfr.enabled", "false");
+        setIfAbsent("io.netty.jfr.enabled", "false");
     }
 
-    private static void unlessSet(String property, String value) {
+    private static void setIfAbsent(String property, String value) {
         if (System.getProperty(property) == null) {
             System.setProperty(property, value);
         }
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -124,7 +124,7 @@
     private final BackendPool pool;
     private final Discovery discovery;
     private final Balancer balancer;
-    private final Figures metrics;
+    private final Metrics metrics;
     private final SendGuard guard;
     private final List<RequestClass> classes;
     private final int maxAttempts;
@@ -148,19 +148,19 @@
     private record ModuleEvent(Exchange exchange, Runnable delivery) { }
 
     ProxyLoop(EventLoop loop, Clock clock, EventLog log, ProxyConfig config, BackendPool pool,
-            ProxyServer.Module module) {
+            ProxyServer.ModuleFactory module) {
         this.loop = loop;
         this.clock = clock;
         this.log = log;
         this.pool = pool;
         this.maxAttempts = config.settings().limits().maxAttempts();
-        this.metrics = new Figures(config.classes());
+        this.metrics = new Metrics(config.classes());
         this.guard = new SendGuard(log, config.settings().rules().drainGraceUs(), maxAttempts);
         this.classes = config.settings().classes();
         this.readiness = new Readiness(clock, log, config);
         this.discovery = new Discovery(loop, clock, log, config, this);
         this.balancer = module.create(config.settings(), config.seed(), this);
-        applyCachedList(config.known());
+        applyCachedList(config.cachedList());
         if (!config.settings().watch()) {
             discovery.watch();
         }
@@ -223,7 +223,7 @@
         updateBackends(list);
         notifyModule(null, () -> balancer.serversChanged(clock.nowUs(),
                 list.whole() ? ListKind.FULL : ListKind.CHANGES, list.servers()));
-        readiness.listed();
+        readiness.setListReceived();
     }
 
     @Override
@@ -421,8 +421,9 @@
         boolean streamed = exchange.streamedAttempt == attempt;
         long elapsedUs = (streamed ? exchange.streamStartedAtUs : clock.nowUs()) - attempt.sentAtUs;
         if (streamed && !exchange.responded) {
-            metrics.ended(exchange.request.requestClass(),
-                    result.outcome() == Outcome.OK ? Figures.End.SUCCESS : Figures.End.ERROR);
+            metrics.requestEnded(exchange.request.requestClass(),
+                    result.outcome() == Outcome.OK ? Metrics.RequestResult.SUCCESS
+                    : Metrics.RequestResult.ERROR);
             markResponded(exchange);
             if (result.outcome() != Outcome.OK) {
                 exchange.sink.broken();
@@ -502,7 +503,7 @@
             return;
         }
         if (!exchange.attempts.isEmpty()) {
-            metrics.retried();
+            metrics.retrySent();
             log.line(Kind.ATTEMPT,
                     "request " + id + " is sent again, to " + server + exchange.describeAttempts());
         }
@@ -527,7 +528,7 @@
                         exchange.responder.isClientPresent(), backend.available,
                         exchange.request.body().canBeSent(),
                         balancer.maySend(clock.nowUs(), id, attempt.number))),
-                metrics::dispatched, exchange.incomplete ? BackendPool.NO_TIMEOUT : attemptTimeoutUs,
+                metrics::attemptSent, exchange.incomplete ? BackendPool.NO_TIMEOUT : attemptTimeoutUs,
                 Outcome.TIMEOUT),
                 new BackendPool.Listener() {
                     @Override
@@ -587,7 +588,7 @@
 
     @Override
     public void reportGiveUp(String id, GiveUpReason reason) {
-        metrics.gaveUp(reason);
+        metrics.requestGivenUp(reason);
         Exchange exchange = exchanges.get(id);
         if (exchange != null) {
             log.line(Kind.REQUEST, "request " + id + " is given up: " + reason + exchange.describeAttempts());
@@ -676,7 +677,7 @@
 
     /** Sends the final response, which must be the only one. */
     private void respond(Exchange exchange, ProxyResponse response) {
-        metrics.ended(exchange.request.requestClass(), response.category());
+        metrics.requestEnded(exchange.request.requestClass(), response.category());
         markResponded(exchange);
         exchange.responder.respond(response);
     }
--- a/src/main/java/passhatch/proxy/ProxyResponse.java
+++ b/src/main/java/passhatch/proxy/ProxyResponse.java
@@ -34,10 +34,10 @@
     }
 
     /** The category under which metrics count it. */
-    Figures.End category() {
-        return status.equals(HttpResponseStatus.OK) ? Figures.End.SUCCESS
-                : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Figures.End.OVERLOAD
-                : Figures.End.ERROR;
+    Metrics.RequestResult category() {
+        return status.equals(HttpResponseStatus.OK) ? Metrics.RequestResult.SUCCESS
+                : status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE) ? Metrics.RequestResult.OVERLOAD
+                : Metrics.RequestResult.ERROR;
     }
 
     /** A response without a body. */
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -26,20 +26,20 @@
 /** One real proxy, from its start to its end. */
 public final class ProxyServer {
 
-    private static final long SWEEP_MS = 250;
-    private static final long SENT_CHECK_MS = 10;
+    private static final long POOL_SWEEP_INTERVAL_MS = 250;
+    private static final long DRAIN_CHECK_INTERVAL_MS = 10;
     /**
      * Descriptors for the JVM's own files, the selector, the listener, discovery, and connections that are
      * closed but not yet let go of by the selector.
      */
-    private static final int OWN_DESCRIPTORS = 40;
+    private static final int RESERVED_DESCRIPTORS = 40;
     /** Part of the rest for callers; they have more connections open than requests. */
-    private static final double FOR_CALLERS = 0.55;
+    private static final double CLIENT_DESCRIPTOR_FRACTION = 0.55;
     /** Part of the heap that bodies of requests may hold. */
-    private static final int BODY_PART = 6;
+    private static final int BODY_BUDGET_HEAP_DIVISOR = 6;
 
     /** Makes the decision module. */
-    interface Module {
+    interface ModuleFactory {
         Balancer create(Settings settings, long seed, Actions actions);
     }
 
@@ -47,22 +47,22 @@
     private final EventLoop loop;
     private final EventLog log;
     private final long longestDeadlineMs;
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch terminated = new CountDownLatch(1);
     private ProxyLoop proxy;
-    private ClientServer clients;
-    private DrainState drain;
+    private ClientServer clientServer;
+    private DrainState drainState;
     private Console console;
-    private BackendPool pool;
+    private BackendPool backendPool;
     private Handover handover;
-    private int ownDescriptors;
+    private int reservedDescriptors;
     /** The process is about to be killed. */
-    private boolean answeredAll;
+    private boolean finalResponsesSent;
     /** All is answered but for what may still come on open connections. */
-    private boolean awaitsLast;
+    private boolean drainWaitLogged;
     /** Whether that is over is seen in a moment. */
-    private boolean checksAgain;
+    private boolean drainCheckScheduled;
     /** What the process ends with. */
-    private volatile int status;
+    private volatile int exitStatus;
     private volatile InetSocketAddress address;
     private InetSocketAddress consoleAddress;
 
@@ -83,55 +83,56 @@
         if (!HangUpSignal.onEach(() -> started.thenAccept(s -> s.reload(env)))) {
             err.println("passhatch: SIGHUP cannot be handled here: it is ignored, or ends the process");
         }
-        NettyDefaults.set();
+        NettyDefaults.apply();
         ProxyServer server;
         try {
             server = start(ProxyConfig.read(env), new EventLog(err), LeastLoadedBalancer::new);
-        } catch (ProxyConfig.BadConfig bad) {
-            err.println("passhatch: " + bad.getMessage());
+        } catch (ProxyConfig.InvalidConfigException e) {
+            err.println("passhatch: " + e.getMessage());
             return 2;
-        } catch (ExecutionException bug) {
-            throw new IllegalStateException(bug);
+        } catch (ExecutionException e) {
+            throw new IllegalStateException(e);
         }
         started.complete(server);
-        CountDownLatch ended = server.ended;
+        CountDownLatch terminated = server.terminated;
         // The JVM ends as soon as its hooks have returned, with the status of the signal: so this hook stays
         // until all is answered, and then ends the process itself.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             server.shutDown();
             try {
-                ended.await();
+                terminated.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            Runtime.getRuntime().halt(server.status);
+            Runtime.getRuntime().halt(server.exitStatus);
         }));
-        ended.await();
-        return server.status;
+        terminated.await();
+        return server.exitStatus;
     }
 
     /** Starts a proxy and returns once it listens. */
-    static ProxyServer start(ProxyConfig config, EventLog log, Module module)
-            throws ProxyConfig.BadConfig, InterruptedException, ExecutionException {
-        return start(config, log, module, new Clock());
+    static ProxyServer start(ProxyConfig config, EventLog log, ModuleFactory moduleFactory)
+            throws ProxyConfig.InvalidConfigException, InterruptedException, ExecutionException {
+        return start(config, log, moduleFactory, new Clock());
     }
 
     /** Starts one that goes by the clock. */
-    static ProxyServer start(ProxyConfig config, EventLog log, Module module, Clock clock)
-            throws ProxyConfig.BadConfig, InterruptedException, ExecutionException {
+    static ProxyServer start(ProxyConfig config, EventLog log, ModuleFactory moduleFactory, Clock clock)
+            throws ProxyConfig.InvalidConfigException, InterruptedException, ExecutionException {
         ProxyServer server = new ProxyServer(config, log);
         try {
-            server.loop.submit(() -> server.build(config, module, clock)).sync();
-        } catch (IllegalArgumentException bad) {
+            server.loop.submit(() -> server.createComponents(config, moduleFactory, clock)).sync();
+        } catch (IllegalArgumentException e) {
             server.group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
-            throw new ProxyConfig.BadConfig("config: settings: " + bad.getMessage());
+            throw new ProxyConfig.InvalidConfigException("config: settings: " + e.getMessage());
         }
         if (config.console() == null || !server.loop.submit(server.handover::hasPeer).get()) {
-            ChannelFuture listening = server.clients.listen(config.listen(), config.console() != null)
+            ChannelFuture listening = server.clientServer.listen(config.listen(), config.console() != null)
                     .await();
             if (!listening.isSuccess()) {
-                server.end();
-                throw new ProxyConfig.BadConfig("PROXY_LISTEN: " + listening.cause().getMessage());
+                server.terminate();
+                throw new ProxyConfig.InvalidConfigException("PROXY_LISTEN: "
+                        + listening.cause().getMessage());
             }
             server.address = (InetSocketAddress) listening.channel().localAddress();
         }
@@ -139,104 +140,107 @@
             try {
                 server.consoleAddress = server.console.listen(config.console());
             } catch (IOException e) {
-                server.end();
-                throw new ProxyConfig.BadConfig("PROXY_CONSOLE: " + e.getMessage());
+                server.terminate();
+                throw new ProxyConfig.InvalidConfigException("PROXY_CONSOLE: " + e.getMessage());
             }
             server.loop.execute(() -> server.proxy.readiness()
-                    .whenListed(() -> server.serve(config.listen())));
+                    .whenListReceived(() -> server.startServing(config.listen())));
         }
         return server;
     }
 
     /** Takes clients, beside another process if there is one, which until now had them all. */
-    private void serve(InetSocketAddress listen) {
-        if (clients.isListening()) {
-            handover.serving(true);
+    private void startServing(InetSocketAddress listenAddress) {
+        if (clientServer.isListening()) {
+            handover.setServing(true);
             return;
         }
-        clients.listen(listen, true).addListener((ChannelFuture listening) -> {
+        clientServer.listen(listenAddress, true).addListener((ChannelFuture listening) -> {
             if (listening.isSuccess()) {
                 address = (InetSocketAddress) listening.channel().localAddress();
                 log.line("handover: this process serves beside the one before it");
-                handover.serving(true);
+                handover.setServing(true);
             } else {
                 log.line("PROXY_LISTEN: " + listening.cause().getMessage());
-                status = 2;
-                end();
+                exitStatus = 2;
+                terminate();
             }
         });
     }
 
-    private void build(ProxyConfig config, Module module, Clock clock) {
-        ownDescriptors = OWN_DESCRIPTORS + (config.console() == null ? 0 : Console.MOST_OPEN + 1);
-        int forCallers = forCallers(config.sockets());
-        pool = new BackendPool(loop, clock, log, config.connectTimeoutUs(),
-                config.settings().limits().keepaliveUs(), forBackends(config.sockets()));
-        loop.scheduleAtFixedRate(pool::closeStale, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-        proxy = new ProxyLoop(loop, clock, log, config, pool, module);
-        drain = new DrainState(loop);
-        console = new Console(loop, log, new ConsoleRoutes(new Staff()));
-        clients = new ClientServer(loop, clock, log, new RequestParser(config), proxy, forCallers,
-                new BodyBudget((int) Math.min(1L << 30, Runtime.getRuntime().maxMemory() / BODY_PART)),
-                drain);
+    private void createComponents(ProxyConfig config, ModuleFactory moduleFactory, Clock clock) {
+        reservedDescriptors = RESERVED_DESCRIPTORS
+                + (config.console() == null ? 0 : Console.MAX_CONNECTIONS + 1);
+        int clientDescriptors = clientDescriptors(config.maxDescriptors());
+        backendPool = new BackendPool(loop, clock, log, config.connectTimeoutUs(),
+                config.settings().limits().keepaliveUs(), backendDescriptors(config.maxDescriptors()));
+        loop.scheduleAtFixedRate(backendPool::closeStale, POOL_SWEEP_INTERVAL_MS, POOL_SWEEP_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
+        proxy = new ProxyLoop(loop, clock, log, config, backendPool, moduleFactory);
+        drainState = new DrainState(loop);
+        console = new Console(loop, log, new ConsoleRoutes(new ConsoleOperations()));
+        clientServer = new ClientServer(loop, clock, log, new RequestParser(config), proxy, clientDescriptors,
+                new BodyBudget((int) Math.min(1L << 30,
+                        Runtime.getRuntime().maxMemory() / BODY_BUDGET_HEAP_DIVISOR)),
+                drainState);
         if (config.console() != null) {
-            handover = new Handover(loop, log, config.folder(), config.name(),
-                    new SetByHand(config.sockets()));
+            handover = new Handover(loop, log, config.stateDirectory(), config.name(),
+                    new SharedStateListener(config.maxDescriptors()));
         }
     }
 
-    private int forOthers(int descriptors) {
-        return Math.max(8, descriptors - ownDescriptors);
+    private int sharedDescriptors(int descriptors) {
+        return Math.max(8, descriptors - reservedDescriptors);
     }
 
-    private int forCallers(int descriptors) {
-        return (int) (forOthers(descriptors) * FOR_CALLERS);
+    private int clientDescriptors(int descriptors) {
+        return (int) (sharedDescriptors(descriptors) * CLIENT_DESCRIPTOR_FRACTION);
     }
 
-    private int forBackends(int descriptors) {
-        return forOthers(descriptors) - forCallers(descriptors);
+    private int backendDescriptors(int descriptors) {
+        return sharedDescriptors(descriptors) - clientDescriptors(descriptors);
     }
 
     /** Follows what staff set, on whichever process's console, and makes room for another process. */
-    private final class SetByHand implements Handover.Listener {
+    private final class SharedStateListener implements Handover.Listener {
         private final int descriptors;
-        private SharedState now = SharedState.NOTHING_SET;
+        private SharedState current = SharedState.INITIAL;
 
-        SetByHand(int descriptors) {
+        SharedStateListener(int descriptors) {
             this.descriptors = descriptors;
         }
 
         @Override
-        public void set(SharedState state) {
-            SharedState before = now;
-            now = state;
-            state.out().stream().filter(id -> !before.out().contains(id))
+        public void stateChanged(SharedState state) {
+            SharedState previous = current;
+            current = state;
+            state.disabledBackends().stream().filter(id -> !previous.disabledBackends().contains(id))
                     .forEach(id -> proxy.setDisabled(id, true));
-            before.out().stream().filter(id -> !state.out().contains(id))
+            previous.disabledBackends().stream().filter(id -> !state.disabledBackends().contains(id))
                     .forEach(id -> proxy.setDisabled(id, false));
-            if (state.outOfService() != before.outOfService()) {
+            if (state.outOfService() != previous.outOfService()) {
                 log.line(state.outOfService() ? "out of service by hand" : "in service by hand");
                 if (state.outOfService()) {
-                    drain.outOfService();
+                    drainState.takeOutOfService();
                 } else {
-                    drain.inService();
+                    drainState.returnToService();
                 }
             }
         }
 
         @Override
-        public void alone(boolean alone) {
-            int share = alone ? descriptors : descriptors / 2;
-            clients.setMaxConnections(forCallers(share));
-            pool.mostOpen(forBackends(share));
+        public void aloneChanged(boolean alone) {
+            int available = alone ? descriptors : descriptors / 2;
+            clientServer.setMaxConnections(clientDescriptors(available));
+            backendPool.mostOpen(backendDescriptors(available));
         }
     }
 
     /** What the console has done. */
-    private final class Staff implements ConsoleRoutes.Operations {
+    private final class ConsoleOperations implements ConsoleRoutes.Operations {
         @Override
-        public boolean ready() {
-            return proxy.readiness().isReady() && clients.isListening() && !drain.isEnding();
+        public boolean isReady() {
+            return proxy.readiness().isReady() && clientServer.isListening() && !drainState.isShuttingDown();
         }
 
         @Override
@@ -245,21 +249,21 @@
         }
 
         @Override
-        public boolean knows(String backend) {
+        public boolean isKnown(String backend) {
             return proxy.isKnownBackend(backend);
         }
 
         @Override
-        public void setOut(String backend, boolean out, Consumer<Boolean> done) {
-            handover.change(state -> state.withOut(backend, out), done);
+        public void setDisabled(String backend, boolean disabled, Consumer<Boolean> onDone) {
+            handover.change(state -> state.withDisabled(backend, disabled), onDone);
         }
 
         @Override
-        public void setOutOfService(boolean out, Consumer<Boolean> done) {
-            if (!out && drain.isEnding() && !handover.hasPeer()) {
-                done.accept(false);
+        public void setOutOfService(boolean outOfService, Consumer<Boolean> onDone) {
+            if (!outOfService && drainState.isShuttingDown() && !handover.hasPeer()) {
+                onDone.accept(false);
             } else {
-                handover.change(state -> state.withOutOfService(out), done);
+                handover.change(state -> state.withOutOfService(outOfService), onDone);
             }
         }
     }
@@ -270,25 +274,26 @@
      */
     synchronized void reload(Map<String, String> env) {
         InetSocketAddress discovery;
-        String said;
+        String message;
         try {
             discovery = ProxyConfig.rereadDiscovery(env);
-            said = "configuration read again: discovery is " + (discovery == null ? "as before" : discovery);
-        } catch (ProxyConfig.BadConfig | RuntimeException bad) {
+            message = "configuration read again: discovery is "
+                    + (discovery == null ? "as before" : discovery);
+        } catch (ProxyConfig.InvalidConfigException | RuntimeException e) {
             // Whatever the file holds, the signal's thread must not end over it with nothing said.
             discovery = null;
-            said = "configuration not taken over, the one before stays: " + bad.getMessage();
+            message = "configuration not taken over, the one before stays: " + e.getMessage();
         }
-        InetSocketAddress watched = discovery;
-        String line = said;
+        InetSocketAddress newDiscovery = discovery;
+        String logLine = message;
         try {
             loop.execute(() -> {
-                log.line(line);
-                if (watched != null) {
-                    proxy.setDiscoveryAddress(watched);
+                log.line(logLine);
+                if (newDiscovery != null) {
+                    proxy.setDiscoveryAddress(newDiscovery);
                 }
             });
-        } catch (RejectedExecutionException ended) {
+        } catch (RejectedExecutionException loopStopped) {
             // The process is about to end: there is nothing left that could follow.
         }
     }
@@ -308,24 +313,25 @@
     void shutDown() {
         loop.execute(() -> {
             log.line("shutting down");
-            drain.end();
-            boolean succeeded = handover != null && handover.hasSuccessor();
-            Ending ending = Ending.of(longestDeadlineMs, succeeded);
-            if (succeeded) {
+            drainState.beginShutdown();
+            boolean hasSuccessor = handover != null && handover.hasSuccessor();
+            ShutdownSchedule schedule = ShutdownSchedule.of(longestDeadlineMs, hasSuccessor);
+            if (hasSuccessor) {
                 log.line("handover: another process serves; what it can take is left to it");
-                handover.serving(false);
-                drain.sendAway();
+                handover.setServing(false);
+                drainState.closeAfterResponses();
             }
-            loop.schedule(clients::stopListening, ending.acceptUntilMs(), TimeUnit.MILLISECONDS);
+            loop.schedule(clientServer::stopListening, schedule.stopListeningAfterMs(),
+                    TimeUnit.MILLISECONDS);
             loop.schedule(() -> {
-                drain.letGo();
-                proxy.whenIdle(this::endOnceDone);
-            }, ending.takeUntilMs(), TimeUnit.MILLISECONDS);
+                drainState.closeAfterResponsesAndIdle();
+                proxy.whenIdle(this::terminateOnceDrained);
+            }, schedule.closeConnectionsAfterMs(), TimeUnit.MILLISECONDS);
             loop.schedule(() -> {
                 proxy.terminateAll();
-                answeredAll = true;
-                proxy.whenIdle(this::endOnceDone);
-            }, ending.answerAtMs(), TimeUnit.MILLISECONDS);
+                finalResponsesSent = true;
+                proxy.whenIdle(this::terminateOnceDrained);
+            }, schedule.respondToAllAfterMs(), TimeUnit.MILLISECONDS);
         });
     }
 
@@ -334,54 +340,54 @@
      * over a long one, no client has only just connected, and no request is half in. At the last, one that is
      * half in is not waited for.
      */
-    private void endOnceDone() {
-        if (checksAgain) {
+    private void terminateOnceDrained() {
+        if (drainCheckScheduled) {
             return;
         }
-        clients.closeIdleConnections();
-        if (clients.hasUnsentResponses() || clients.mayHaveUnreadRequests() || !answeredAll
-                && clients.hasOpenRequests()) {
-            if (!awaitsLast) {
-                awaitsLast = true;
+        clientServer.closeIdleConnections();
+        if (clientServer.hasUnsentResponses() || clientServer.mayHaveUnreadRequests()
+                || !finalResponsesSent && clientServer.hasOpenRequests()) {
+            if (!drainWaitLogged) {
+                drainWaitLogged = true;
                 log.line("the last connections are waited for");
             }
-            checksAgain = true;
+            drainCheckScheduled = true;
             loop.schedule(() -> {
-                checksAgain = false;
-                proxy.whenIdle(this::endOnceDone);
-            }, SENT_CHECK_MS, TimeUnit.MILLISECONDS);
+                drainCheckScheduled = false;
+                proxy.whenIdle(this::terminateOnceDrained);
+            }, DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
-            end();
+            terminate();
         }
     }
 
     /** Takes no more connections, as at the end. */
     void stopListening() {
-        clients.stopListening();
+        clientServer.stopListening();
     }
 
     /** Does something in a later step of the loop, which stands still meanwhile. */
-    Future<?> inLoop(Callable<?> what) {
-        return loop.submit(what);
+    Future<?> submitToLoop(Callable<?> task) {
+        return loop.submit(task);
     }
 
     /** Waits until it has shut down. */
-    boolean awaitEnd(long ms) throws InterruptedException {
-        return ended.await(ms, TimeUnit.MILLISECONDS);
+    boolean awaitTermination(long timeoutMs) throws InterruptedException {
+        return terminated.await(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     /** Ends at once, whatever is out. */
-    void stopNow() {
-        loop.execute(this::end);
+    void terminateNow() {
+        loop.execute(this::terminate);
     }
 
-    private void end() {
+    private void terminate() {
         proxy.stop();
         console.close();
         if (handover != null) {
             handover.close();
         }
-        clients.closeIdleConnections();
-        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).addListener(done -> ended.countDown());
+        clientServer.closeIdleConnections();
+        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).addListener(done -> terminated.countDown());
     }
 }
--- a/src/main/java/passhatch/proxy/Readiness.java
+++ b/src/main/java/passhatch/proxy/Readiness.java
@@ -10,44 +10,45 @@
 final class Readiness {
 
     /** A call for the list that is answered at all is mostly answered by then, also in a crowd. */
-    static final long MOST_WAIT_US = 4_000_000;
+    static final long MAX_LIST_WAIT_US = 4_000_000;
 
     private final Clock clock;
     private final EventLog log;
-    private final boolean mayRemember;
-    private final long sinceUs;
-    private boolean listed;
-    private boolean remembers;
-    private Runnable onListed = () -> { };
+    private final boolean mayUseCachedList;
+    private final long startedUs;
+    private boolean listReceived;
+    private boolean usesCachedList;
+    private Runnable onListReceived = () -> { };
 
     Readiness(Clock clock, EventLog log, ProxyConfig config) {
         this.clock = clock;
         this.log = log;
-        this.mayRemember = config.settings().watch() && !config.known().endpoints().isEmpty();
-        this.sinceUs = clock.nowUs();
+        this.mayUseCachedList = config.settings().watch() && !config.cachedList().endpoints().isEmpty();
+        this.startedUs = clock.nowUs();
     }
 
     boolean isReady() {
-        if (!listed && !remembers && mayRemember && clock.nowUs() - sinceUs >= MOST_WAIT_US) {
-            remembers = true;
+        if (!listReceived && !usesCachedList && mayUseCachedList
+                && clock.nowUs() - startedUs >= MAX_LIST_WAIT_US) {
+            usesCachedList = true;
             log.line(Kind.DISCOVERY, "no list has come in: ready with the one that is remembered");
         }
-        return listed || remembers;
+        return listReceived || usesCachedList;
     }
 
-    void listed() {
-        listed = true;
-        Runnable then = onListed;
-        onListed = () -> { };
-        then.run();
+    void setListReceived() {
+        listReceived = true;
+        Runnable callback = onListReceived;
+        onListReceived = () -> { };
+        callback.run();
     }
 
     /** Calls back, once, when a list has come in, at once where one has. */
-    void whenListed(Runnable then) {
-        if (listed) {
-            then.run();
+    void whenListReceived(Runnable callback) {
+        if (listReceived) {
+            callback.run();
         } else {
-            onListed = then;
+            onListReceived = callback;
         }
     }
 }
--- a/src/main/java/passhatch/proxy/Rehearsal.java
+++ b/src/main/java/passhatch/proxy/Rehearsal.java
@@ -27,10 +27,10 @@
 
     private static final int TIMEOUT_MS = 10_000;
     /** Requests passed on: enough to use a kept connection too. */
-    private static final int REQUESTS = 3;
+    private static final int REQUEST_COUNT = 3;
     /** A body, and an answer, of a size that is passed on as it comes. */
-    private static final int LARGE = 200_000;
-    private static final List<String> CONSOLE_CALLS = List.of("POST /control/backends/s/offline",
+    private static final int LARGE_BODY_BYTES = 200_000;
+    private static final List<String> CONSOLE_REQUESTS = List.of("POST /control/backends/s/offline",
             "POST /control/backends/s/online", "POST /control/out-of-service", "POST /control/in-service",
             "GET /control/counters");
 
@@ -48,71 +48,71 @@
 
     /** Plays it; what cannot be played is said and costs only the archive. */
     public static int run(PrintStream err) throws InterruptedException {
-        NettyDefaults.set();
+        NettyDefaults.apply();
         HangUpSignal.onEach(() -> { });
-        try (ServerSocket others = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket stubListener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             // Not one of the JDK's making: that would set up what a start must do without.
-            Path folder = Files.createDirectory(Path.of(System.getProperty("java.io.tmpdir"),
+            Path directory = Files.createDirectory(Path.of(System.getProperty("java.io.tmpdir"),
                     "rehearsal-" + ProcessHandle.current().pid() + '-' + System.nanoTime()));
-            Path config = folder.resolve("config.json");
+            Path config = directory.resolve("config.json");
             try {
-                String here = "127.0.0.1:" + others.getLocalPort();
-                String list = """
+                String stubAddress = "127.0.0.1:" + stubListener.getLocalPort();
+                String endpointList = """
                         {"index":1,"snapshot":true,"endpoints":[{"name":"s","address":"%s","zone":"z",\
                         "type":"m","group":0,"status":"SERVING","weight":1,"since_ms":0}]}
-                        """.formatted(here);
-                Files.writeString(config, "{\"seed\":\"1\",\"limits\":{\"sockets\":256},\"known\":" + list
-                        + ",\"settings\":" + SETTINGS + "}");
-                Thread stub = new Thread(() -> serve(others, list), "others");
-                stub.setDaemon(true);
-                stub.start();
+                        """.formatted(stubAddress);
+                Files.writeString(config, "{\"seed\":\"1\",\"limits\":{\"sockets\":256},\"known\":"
+                        + endpointList + ",\"settings\":" + SETTINGS + "}");
+                Thread stubThread = new Thread(() -> serveStub(stubListener, endpointList), "others");
+                stubThread.setDaemon(true);
+                stubThread.start();
                 ProxyServer proxy = ProxyServer.start(ProxyConfig.read(Map.of("PROXY_NAME", "n",
                         "PROXY_LISTEN", "127.0.0.1:0", "PROXY_CONSOLE", "127.0.0.1:0", "PROXY_DISCOVERY",
-                        here, "PROXY_CONFIG", config.toString(), "TMPDIR", folder.toString())),
+                        stubAddress, "PROXY_CONFIG", config.toString(), "TMPDIR", directory.toString())),
                         new EventLog(err), LeastLoadedBalancer::new);
-                for (int i = 0; i < REQUESTS; i++) {
-                    call(proxy.address(), "GET /c/x HTTP/1.1\r\nHost: p\r\nX-Request-Id: r" + i
+                for (int i = 0; i < REQUEST_COUNT; i++) {
+                    exchange(proxy.address(), "GET /c/x HTTP/1.1\r\nHost: p\r\nX-Request-Id: r" + i
                             + "\r\nX-Tenant: t\r\nX-Deadline: 9000m\r\nX-Cost-Hint: 9\r\n\r\n");
                 }
-                call(proxy.address(), "POST /u/x HTTP/1.1\r\nHost: p\r\nX-Request-Id: large\r\n"
-                        + "Content-Length: " + LARGE + "\r\n\r\n" + "x".repeat(LARGE));
-                for (String path : CONSOLE_CALLS) {
-                    call(proxy.consoleAddress(), path + " HTTP/1.1\r\nHost: c\r\n\r\n");
+                exchange(proxy.address(), "POST /u/x HTTP/1.1\r\nHost: p\r\nX-Request-Id: large\r\n"
+                        + "Content-Length: " + LARGE_BODY_BYTES + "\r\n\r\n" + "x".repeat(LARGE_BODY_BYTES));
+                for (String methodAndPath : CONSOLE_REQUESTS) {
+                    exchange(proxy.consoleAddress(), methodAndPath + " HTTP/1.1\r\nHost: c\r\n\r\n");
                 }
-                proxy.stopNow();
-                return proxy.awaitEnd(TIMEOUT_MS) ? 0 : 1;
+                proxy.terminateNow();
+                return proxy.awaitTermination(TIMEOUT_MS) ? 0 : 1;
             } finally {
-                try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+                try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
                     for (Path file : files) {
                         Files.delete(file);
                     }
                 }
-                Files.delete(folder);
+                Files.delete(directory);
             }
-        } catch (IOException | ProxyConfig.BadConfig | ExecutionException bad) {
-            err.println("passhatch: rehearsal: " + bad.getMessage());
+        } catch (IOException | ProxyConfig.InvalidConfigException | ExecutionException e) {
+            err.println("passhatch: rehearsal: " + e.getMessage());
             return 1;
         }
     }
 
-    private static void call(InetSocketAddress proxy, String call) throws IOException {
-        try (Socket client = new Socket(proxy.getAddress(), proxy.getPort())) {
+    private static void exchange(InetSocketAddress address, String request) throws IOException {
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             client.setSoTimeout(TIMEOUT_MS);
-            client.getOutputStream().write(call.getBytes(StandardCharsets.US_ASCII));
-            String status = new BufferedReader(new InputStreamReader(client.getInputStream(),
+            client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+            String statusLine = new BufferedReader(new InputStreamReader(client.getInputStream(),
                     StandardCharsets.US_ASCII)).readLine();
-            if (status == null || !status.contains(" 200 ")) {
-                throw new IOException("a request was answered with " + status);
+            if (statusLine == null || !statusLine.contains(" 200 ")) {
+                throw new IOException("a request was answered with " + statusLine);
             }
         }
     }
 
     /** Stands in for discovery and for a backend: each connection has a thread, and all end with the JVM. */
-    private static void serve(ServerSocket listener, String list) {
+    private static void serveStub(ServerSocket listener, String endpointList) {
         while (true) {
             try {
-                Socket peer = listener.accept();
-                Thread thread = new Thread(() -> answer(peer, list), "peer");
+                Socket connection = listener.accept();
+                Thread thread = new Thread(() -> respond(connection, endpointList), "peer");
                 thread.setDaemon(true);
                 thread.start();
             } catch (IOException closed) {
@@ -121,27 +121,27 @@
         }
     }
 
-    private static void answer(Socket peer, String list) {
-        try (peer; BufferedReader in = new BufferedReader(new InputStreamReader(peer.getInputStream(),
-                StandardCharsets.US_ASCII))) {
-            for (String start = in.readLine(); start != null; start = in.readLine()) {
-                long length = 0;
+    private static void respond(Socket connection, String endpointList) {
+        try (connection; BufferedReader in = new BufferedReader(new InputStreamReader(
+                connection.getInputStream(), StandardCharsets.US_ASCII))) {
+            for (String requestLine = in.readLine(); requestLine != null; requestLine = in.readLine()) {
+                long unreadBodyBytes = 0;
                 for (String header = in.readLine(); header != null && !header.isEmpty();) {
                     if (header.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
-                        length = Long.parseLong(header.substring(header.indexOf(':') + 1).strip());
+                        unreadBodyBytes = Long.parseLong(header.substring(header.indexOf(':') + 1).strip());
                     }
                     header = in.readLine();
                 }
-                while (length > 0) {
-                    length -= in.skip(length);
+                while (unreadBodyBytes > 0) {
+                    unreadBodyBytes -= in.skip(unreadBodyBytes);
                 }
-                String body = start.contains("/v1/endpoints") ? list
-                        : start.startsWith("POST") ? "x".repeat(LARGE) : "ok";
-                String answer = start.contains("watch=1")
+                String body = requestLine.contains("/v1/endpoints") ? endpointList
+                        : requestLine.startsWith("POST") ? "x".repeat(LARGE_BODY_BYTES) : "ok";
+                String response = requestLine.contains("watch=1")
                         ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + Integer.toHexString(body.length()) + "\r\n" + body + "\r\n"
                         : "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-                peer.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+                connection.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException ended) {
             // The proxy has closed the connection; there is nothing left to answer.
--- a/src/main/java/passhatch/proxy/SendGuard.java
+++ b/src/main/java/passhatch/proxy/SendGuard.java
@@ -152,12 +152,12 @@
     }
 
     /** Adds the counts of attempts held back and of violations to the metrics, one per line. */
-    void metrics(Figures.Lines lines) {
+    void metrics(Metrics.Sink lines) {
         for (HeldBack reason : HeldBack.values()) {
-            lines.add("held_back." + Figures.lowerCase(reason), heldBack.getOrDefault(reason, 0L));
+            lines.add("held_back." + Metrics.lowerCase(reason), heldBack.getOrDefault(reason, 0L));
         }
         for (Violation rule : Violation.values()) {
-            lines.add("violations." + Figures.lowerCase(rule), violationCount(rule));
+            lines.add("violations." + Metrics.lowerCase(rule), violationCount(rule));
         }
     }
 }
--- a/src/main/java/passhatch/proxy/SharedListener.java
+++ b/src/main/java/passhatch/proxy/SharedListener.java
@@ -13,47 +13,47 @@
 final class SharedListener extends NioServerSocketChannel {
 
     /** Calls to accept that may fail while the queue is emptied. */
-    private static final int MOST_FAILURES = 1_000;
+    private static final int MAX_ACCEPT_FAILURES = 1_000;
 
     /** Stops listening, after taking all that has connected here. */
-    void emptyAndClose() {
+    void drainAndClose() {
         config().setAutoRead(false);
         // While it is registered with the selector, a closed listener goes on queueing connections until the
         // next select.
-        deregister().addListener(done -> emptyOnceLetGo());
+        deregister().addListener(done -> drainOnceDeregistered());
     }
 
-    private void emptyOnceLetGo() {
+    private void drainOnceDeregistered() {
         if (!isOpen()) {
             return;
         }
         if (javaChannel().isRegistered()) {
-            eventLoop().schedule(this::emptyOnceLetGo, 1, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(this::drainOnceDeregistered, 1, TimeUnit.MILLISECONDS);
             return;
         }
-        List<Object> taken = new ArrayList<>();
+        List<Object> accepted = new ArrayList<>();
         try {
-            takeAll(taken);
+            acceptAll(accepted);
             javaChannel().close();
-        } catch (Exception bad) {
-            pipeline().fireExceptionCaught(bad);
+        } catch (Exception e) {
+            pipeline().fireExceptionCaught(e);
         }
-        taken.forEach(pipeline()::fireChannelRead);
+        accepted.forEach(pipeline()::fireChannelRead);
         pipeline().fireChannelReadComplete();
         close();
     }
 
     /** A call to accept that fails tells nothing of the connections that wait: what is left is reset. */
-    private void takeAll(List<Object> taken) throws Exception {
+    private void acceptAll(List<Object> accepted) throws Exception {
         int failures = 0;
-        int more = 1;
-        while (more > 0) {
+        int acceptedNow = 1;
+        while (acceptedNow > 0) {
             try {
-                more = doReadMessages(taken);
-            } catch (IOException failed) {
+                acceptedNow = doReadMessages(accepted);
+            } catch (IOException e) {
                 failures++;
-                if (failures >= MOST_FAILURES) {
-                    throw failed;
+                if (failures >= MAX_ACCEPT_FAILURES) {
+                    throw e;
                 }
             }
         }
--- a/src/main/java/passhatch/proxy/SharedState.java
+++ b/src/main/java/passhatch/proxy/SharedState.java
@@ -11,15 +11,15 @@
  * What staff have set by hand: it holds for every process that serves under one name, and outlives each.
  *
  * @param version grows with each change
- * @param out ids of the backends taken out
+ * @param disabledBackends ids of the backends taken out
  */
-record SharedState(long version, Set<String> out, boolean outOfService) {
+record SharedState(long version, Set<String> disabledBackends, boolean outOfService) {
 
-    static final SharedState NOTHING_SET = new SharedState(0, Set.of(), false);
+    static final SharedState INITIAL = new SharedState(0, Set.of(), false);
 
-    SharedState withOut(String backend, boolean isOut) {
-        Set<String> changed = new TreeSet<>(out);
-        if (isOut) {
+    SharedState withDisabled(String backend, boolean disabled) {
+        Set<String> changed = new TreeSet<>(disabledBackends);
+        if (disabled) {
             changed.add(backend);
         } else {
             changed.remove(backend);
@@ -27,32 +27,33 @@
         return new SharedState(version, Set.copyOf(changed), outOfService);
     }
 
-    SharedState withOutOfService(boolean isOut) {
-        return new SharedState(version, out, isOut);
+    SharedState withOutOfService(boolean isOutOfService) {
+        return new SharedState(version, disabledBackends, isOutOfService);
     }
 
-    SharedState withVersion(long other) {
-        return new SharedState(other, out, outOfService);
+    SharedState withVersion(long newVersion) {
+        return new SharedState(newVersion, disabledBackends, outOfService);
     }
 
     /**
-     * Reads what {@link #json} wrote.
+     * Reads what {@link #toJson} wrote.
      *
      * @throws IOException where any of it is missing or malformed: half of it would end bans that hold
      */
-    static SharedState of(String json) throws IOException {
+    static SharedState fromJson(String json) throws IOException {
         Map<String, Object> fields = JSON.std.mapFrom(json);
-        if (fields.get("version") instanceof Number version && fields.get("out") instanceof List<?> out
-                && out.stream().allMatch(String.class::isInstance)
+        if (fields.get("version") instanceof Number version
+                && fields.get("out") instanceof List<?> disabledIds
+                && disabledIds.stream().allMatch(String.class::isInstance)
                 && fields.get("outOfService") instanceof Boolean outOfService) {
             return new SharedState(version.longValue(),
-                    Set.copyOf(out.stream().map(String.class::cast).toList()), outOfService);
+                    Set.copyOf(disabledIds.stream().map(String.class::cast).toList()), outOfService);
         }
         throw new IOException("a field is missing or malformed");
     }
 
-    String json() throws IOException {
-        return JSON.std.asString(Map.of("version", version, "out", List.copyOf(new TreeSet<>(out)),
-                "outOfService", outOfService));
+    String toJson() throws IOException {
+        return JSON.std.asString(Map.of("version", version,
+                "out", List.copyOf(new TreeSet<>(disabledBackends)), "outOfService", outOfService));
     }
 }
--- a/src/main/java/passhatch/proxy/StateFolder.java
+++ b/src/main/java/passhatch/proxy/StateDirectory.java
@@ -23,68 +23,70 @@
  * sign of life. Every file is written whole beside its place and renamed into it. A sign of life is locked
  * by its process, and the kernel lets go of the lock with the process, however that ends.
  */
-final class StateFolder implements AutoCloseable {
+final class StateDirectory implements AutoCloseable {
 
-    private static final String LIFE = ".life";
+    private static final String LIVENESS_SUFFIX = ".life";
 
     /**
      * A process that serves under this proxy's name, as it last showed itself.
      *
      * @param startedMs when it started, in Unix time
      * @param serving whether it takes clients
-     * @param follows the version of what staff set that it goes by
+     * @param appliedVersion the version of what staff set that it goes by
      */
-    record Peer(String id, long startedMs, boolean serving, long follows) { }
+    record Peer(String id, long startedMs, boolean serving, long appliedVersion) { }
 
-    private final Path folder;
+    private final Path directory;
     private final String prefix;
     private final long startedMs = System.currentTimeMillis();
     /** Unlike any other's. A UUID would set up the JDK's security providers first, while clients wait. */
     private final String id = Long.toHexString(startedMs) + '-'
             + Long.toHexString(new SplittableRandom().nextLong());
-    private final FileChannel life;
+    private final FileChannel livenessChannel;
 
     /** Shows that this process lives; it does not serve yet. */
-    StateFolder(Path folder, String proxy) throws IOException {
-        this.folder = folder;
+    StateDirectory(Path directory, String proxyName) throws IOException {
+        this.directory = directory;
         // With no hyphen in it, the files of n1-b are not among those that begin with n1.
-        String name = URLEncoder.encode(proxy, StandardCharsets.UTF_8).replace("-", "%2D");
-        this.prefix = "passhatch-" + name + "-";
+        String encodedName = URLEncoder.encode(proxyName, StandardCharsets.UTF_8).replace("-", "%2D");
+        this.prefix = "passhatch-" + encodedName + "-";
         // Locked before it gets its name: one that is not locked passes for that of a dead process.
-        Path unnamed = folder.resolve(prefix + id + ".new");
-        this.life = FileChannel.open(unnamed, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-        life.lock();
-        show(false, 0);
-        Files.move(unnamed, file(id + LIFE), StandardCopyOption.ATOMIC_MOVE);
+        Path temporary = directory.resolve(prefix + id + ".new");
+        this.livenessChannel = FileChannel
+                .open(temporary, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+        livenessChannel.lock();
+        publishStatus(false, 0);
+        Files.move(temporary, file(id + LIVENESS_SUFFIX), StandardCopyOption.ATOMIC_MOVE);
     }
 
     private Path file(String name) {
-        return folder.resolve(prefix + name);
+        return directory.resolve(prefix + name);
     }
 
-    private void put(Path file, String text) throws IOException {
-        Path beside = file(id + ".tmp");
-        Files.writeString(beside, text);
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    private void writeAtomically(Path file, String text) throws IOException {
+        Path temporary = file(id + ".tmp");
+        Files.writeString(temporary, text);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Tells the other processes about this one. */
-    void show(boolean serving, long follows) throws IOException {
-        put(file(id + ".json"), JSON.std.asString(Map.of("startedMs", startedMs, "serving", serving,
-                "follows", follows)));
+    void publishStatus(boolean serving, long appliedVersion) throws IOException {
+        writeAtomically(file(id + ".json"),
+                JSON.std.asString(Map.of("startedMs", startedMs, "serving", serving,
+                "follows", appliedVersion)));
     }
 
     /** What staff set, in writing; null where nothing was written yet. */
     String readState() throws IOException {
         try {
             return Files.readString(file("state.json"));
-        } catch (NoSuchFileException none) {
+        } catch (NoSuchFileException e) {
             return null;
         }
     }
 
     void writeState(SharedState state) throws IOException {
-        put(file("state.json"), state.json());
+        writeAtomically(file("state.json"), state.toJson());
     }
 
     /** The right to change what is set, one process at a time; null while another has it. */
@@ -107,21 +109,22 @@
     /** The other processes that live. */
     List<Peer> peers() throws IOException {
         List<Peer> peers = new ArrayList<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, prefix + "*" + LIFE)) {
-            for (Path sign : files) {
-                String name = sign.getFileName().toString();
-                String other = name.substring(prefix.length(), name.length() - LIFE.length());
+        try (DirectoryStream<Path> files =
+                Files.newDirectoryStream(directory, prefix + "*" + LIVENESS_SUFFIX)) {
+            for (Path livenessFile : files) {
+                String name = livenessFile.getFileName().toString();
+                String peerId = name.substring(prefix.length(), name.length() - LIVENESS_SUFFIX.length());
                 // A process's own sign must not be opened again: closing that would let go of the lock.
-                if (!other.equals(id) && isLocked(sign)) {
-                    peers.add(peer(other));
+                if (!peerId.equals(id) && isLockedOrDelete(livenessFile)) {
+                    peers.add(readPeer(peerId));
                 }
             }
         }
         return peers;
     }
 
-    private boolean isLocked(Path sign) throws IOException {
-        try (FileChannel channel = FileChannel.open(sign, StandardOpenOption.WRITE)) {
+    private boolean isLockedOrDelete(Path livenessFile) throws IOException {
+        try (FileChannel channel = FileChannel.open(livenessFile, StandardOpenOption.WRITE)) {
             if (channel.tryLock() == null) {
                 return true;
             }
@@ -130,37 +133,38 @@
         } catch (NoSuchFileException gone) {
             return false;
         }
-        String name = sign.getFileName().toString();
-        Files.deleteIfExists(sign);
-        Files.deleteIfExists(folder.resolve(name.substring(0, name.length() - LIFE.length()) + ".json"));
+        String name = livenessFile.getFileName().toString();
+        Files.deleteIfExists(livenessFile);
+        Files.deleteIfExists(directory.resolve(name.substring(0, name.length() - LIVENESS_SUFFIX.length())
+                + ".json"));
         return false;
     }
 
     /** What another process shows; where that cannot be read it lives all the same. */
-    private Peer peer(String other) {
+    private Peer readPeer(String peerId) {
         try {
-            Map<String, Object> shown = JSON.std.mapFrom(Files.readString(file(other + ".json")));
-            if (shown.get("startedMs") instanceof Number started
-                    && shown.get("serving") instanceof Boolean serving
-                    && shown.get("follows") instanceof Number follows) {
-                return new Peer(other, started.longValue(), serving, follows.longValue());
+            Map<String, Object> fields = JSON.std.mapFrom(Files.readString(file(peerId + ".json")));
+            if (fields.get("startedMs") instanceof Number peerStartedMs
+                    && fields.get("serving") instanceof Boolean serving
+                    && fields.get("follows") instanceof Number appliedVersion) {
+                return new Peer(peerId, peerStartedMs.longValue(), serving, appliedVersion.longValue());
             }
         } catch (IOException unreadable) {
             // As below.
         }
-        return new Peer(other, 0, false, 0);
+        return new Peer(peerId, 0, false, 0);
     }
 
     /** Whether the other process started after this one. */
-    boolean isLater(Peer peer) {
+    boolean startedAfterThis(Peer peer) {
         return peer.startedMs() != startedMs ? peer.startedMs() > startedMs : peer.id().compareTo(id) > 0;
     }
 
     /** Takes the signs of this process away. */
     @Override
     public void close() throws IOException {
-        Files.deleteIfExists(file(id + LIFE));
+        Files.deleteIfExists(file(id + LIVENESS_SUFFIX));
         Files.deleteIfExists(file(id + ".json"));
-        life.close();
+        livenessChannel.close();
     }
 }
--- a/src/test/java/passhatch/proxy/ClosingConnectionsTest.java
+++ b/src/test/java/passhatch/proxy/ClosingConnectionsTest.java
@@ -94,7 +94,7 @@
         for (String id : ids.subList(0, 4)) {
             awaitReceived(id);
         }
-        rig.proxy().inLoop(() -> {
+        rig.proxy().submitToLoop(() -> {
             for (int i = 3; i >= 0; i--) {
                 actions.refuse(ids.get(i), 0);
             }
@@ -114,7 +114,7 @@
         HttpTestConnection client = rig.client();
         client.write(Rig.get("held", "Connection: close\r\n"));
         awaitReceived("held");
-        rig.proxy().inLoop(() -> {
+        rig.proxy().submitToLoop(() -> {
             client.write(Rig.get("late", ""));
             actions.refuse("held", 0);
             return null;
@@ -147,7 +147,7 @@
                 throw new UncheckedIOException(broken);
             }
         };
-        rig.proxy().inLoop(() -> {
+        rig.proxy().submitToLoop(() -> {
             if (arrivesBeforeTimers) {
                 onModuleTimer.run();
             } else {
@@ -176,7 +176,7 @@
         rig.proxy().shutDown();
         rig.awaitLog("shutting down");
         List<HttpTestConnection> waitingClients = new ArrayList<>();
-        rig.proxy().inLoop(() -> {
+        rig.proxy().submitToLoop(() -> {
             if (keptSendsRequest) {
                 kept.write(Rig.get("kept", ""));
                 waitingClients.add(kept);
@@ -193,7 +193,7 @@
         for (HttpTestConnection client : waitingClients) {
             assertEquals(503, client.read().status());
         }
-        assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
+        assertTrue(rig.proxy().awaitTermination(HttpTestConnection.TIMEOUT_MS));
     }
 
     /**
@@ -211,6 +211,6 @@
         newClient.write(Rig.get("fresh", ""));
         assertEquals(503, newClient.read().status());
         rig.advanceClock(1_000);
-        assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
+        assertTrue(rig.proxy().awaitTermination(HttpTestConnection.TIMEOUT_MS));
     }
 }
--- a/src/test/java/passhatch/proxy/ConsoleTest.java
+++ b/src/test/java/passhatch/proxy/ConsoleTest.java
@@ -47,46 +47,47 @@
         rig.close();
     }
 
-    private Message console(String call) throws IOException {
+    private Message callConsole(String methodAndPath) throws IOException {
         try (HttpTestConnection caller = HttpTestConnection.connect(rig.proxy().consoleAddress())) {
-            caller.write(call + " HTTP/1.1\r\nHost: c\r\n\r\n");
-            Message answer = caller.read();
+            caller.write(methodAndPath + " HTTP/1.1\r\nHost: c\r\n\r\n");
+            Message response = caller.read();
             assertNull(caller.read(), "one call to a connection");
-            return answer;
+            return response;
         }
     }
 
-    private int status(String call) throws IOException {
-        return console(call).status();
+    private int consoleStatus(String methodAndPath) throws IOException {
+        return callConsole(methodAndPath).status();
     }
 
     private Map<String, Integer> counters() throws IOException {
-        Map<String, Integer> figures = new HashMap<>();
-        console("GET /control/counters").text().lines().map(line -> line.split("="))
-                .forEach(f -> figures.put(f[0].replace("edge_proxy.", ""), Integer.parseInt(f[1])));
-        return figures;
+        Map<String, Integer> metrics = new HashMap<>();
+        callConsole("GET /control/counters").text().lines().map(line -> line.split("="))
+                .forEach(nameAndValue -> metrics.put(nameAndValue[0].replace("edge_proxy.", ""),
+                        Integer.parseInt(nameAndValue[1])));
+        return metrics;
     }
 
     /** The names that the page for operators has, with each class of the rig for {@code .C}. */
-    private static List<String> documentedFigures() throws IOException {
+    private static List<String> documentedMetrics() throws IOException {
         return Files.readAllLines(Path.of("docs/figures.md")).stream().filter(line -> line.startsWith("| `"))
                 .flatMap(line -> Pattern.compile("`([^`]+)`").matcher(line.split("\\|")[1]).results())
                 .map(name -> name.group(1))
                 .flatMap(name -> name.endsWith(".C") ? Stream.of("board", "buy", "move")
-                        .map(kind -> name.replace(".C", "." + kind)) : Stream.of(name))
+                        .map(requestClass -> name.replace(".C", "." + requestClass)) : Stream.of(name))
                 .toList();
     }
 
     /** Waits until a figure has a value. */
-    private void awaitFigure(String name, int value) throws Exception {
-        long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
+    private void awaitMetric(String name, int value) throws Exception {
+        long deadlineNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         while (counters().get(name) != value) {
-            assertTrue(System.nanoTime() < end, name + " in " + counters());
+            assertTrue(System.nanoTime() < deadlineNs, name + " in " + counters());
             Thread.sleep(5);
         }
     }
 
-    private boolean frontReady() throws IOException {
+    private boolean isReadyForClients() throws IOException {
         int status = rig.call("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n").status();
         assertTrue(status == 200 || status == 503, "ready: " + status);
         return status == 200;
@@ -119,21 +120,21 @@
             405 | GET /control/out-of-service
             405 | DELETE /control/in-service
             """)
-    void answersEachCall(int status, String call) throws Exception {
+    void respondsWithStatusForMethodAndPath(int status, String call) throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        assertEquals(status, status(call));
+        assertEquals(status, consoleStatus(call));
     }
 
     @Test
-    void theWrongMethodIsToldTheRightOne() throws Exception {
+    void wrongMethodGetsAllowHeader() throws Exception {
         rig.start();
-        assertEquals("GET", console("POST /control/ready").header("Allow"));
-        assertEquals("POST", console("GET /control/in-service").header("Allow"));
+        assertEquals("GET", callConsole("POST /control/ready").header("Allow"));
+        assertEquals("POST", callConsole("GET /control/in-service").header("Allow"));
     }
 
     @Test
-    void rubbishIsAnsweredAndLargeCallsAreTurnedDown() throws Exception {
+    void malformedRequestGets400AndLargeBodyGets413() throws Exception {
         rig.start();
         try (HttpTestConnection caller = HttpTestConnection.connect(rig.proxy().consoleAddress())) {
             caller.write("rubbish\r\n\r\n");
@@ -147,31 +148,31 @@
 
     /** More callers hold connections than there is room for, with nothing said or half a head. */
     @Test
-    void callersThatSayNothingKeepNoRealCallOut() throws Exception {
+    void idleConnectionsDoNotBlockRequests() throws Exception {
         rig.start();
-        List<HttpTestConnection> holders = new ArrayList<>();
+        List<HttpTestConnection> idleConnections = new ArrayList<>();
         try {
-            for (int i = 0; i < Console.MOST_OPEN * 2; i++) {
-                HttpTestConnection holder = HttpTestConnection.connect(rig.proxy().consoleAddress());
-                holders.add(holder);
+            for (int i = 0; i < Console.MAX_CONNECTIONS * 2; i++) {
+                HttpTestConnection idleConnection = HttpTestConnection.connect(rig.proxy().consoleAddress());
+                idleConnections.add(idleConnection);
                 if (i % 2 == 0) {
                     try {
-                        holder.write("GET /control/re");
-                    } catch (SocketException alreadyLetGo) {
+                        idleConnection.write("GET /control/re");
+                    } catch (SocketException alreadyEvicted) {
                         // As it should be, where others came after it.
                     }
                 }
-                assertEquals(200, status("GET /control/ready"));
+                assertEquals(200, consoleStatus("GET /control/ready"));
             }
         } finally {
-            for (HttpTestConnection holder : holders) {
-                holder.close();
+            for (HttpTestConnection idleConnection : idleConnections) {
+                idleConnection.close();
             }
         }
     }
 
     @Test
-    void aCallThatDoesNotComeToItsEndIsTimedOut() throws Exception {
+    void incompleteRequestTimesOut() throws Exception {
         rig.start();
         try (HttpTestConnection caller = HttpTestConnection.connect(rig.proxy().consoleAddress())) {
             caller.write("GET /control/re");
@@ -180,7 +181,7 @@
     }
 
     @Test
-    void countsHowRequestsEndAndWhatIsOut() throws Exception {
+    void countsRequestResultsAndTargets() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         ScriptedServer backend = rig.backend((connection, request) -> {
             if (request.startLine().contains("/move")) {
@@ -189,16 +190,16 @@
             connection.respond(request.startLine().contains("/move") ? "500 No" : "200 OK", "");
         });
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        assertEquals(new TreeSet<>(documentedFigures()), new TreeSet<>(counters().keySet()));
+        assertEquals(new TreeSet<>(documentedMetrics()), new TreeSet<>(counters().keySet()));
         assertEquals(0, counters().get("error.move"));
         assertEquals(200, rig.call(Rig.get("a", "")).status());
         assertEquals(404, rig.call("GET /nothing HTTP/1.1\r\nHost: p\r\n\r\n").status());
-        HttpTestConnection held = rig.client();
-        held.write(Rig.post("/move", "b", ""));
-        awaitFigure("dispatches", 2);
+        HttpTestConnection pending = rig.client();
+        pending.write(Rig.post("/move", "b", ""));
+        awaitMetric("dispatches", 2);
         assertEquals(1, counters().get("concurrent"));
         release.countDown();
-        assertEquals(502, held.read().status());
+        assertEquals(502, pending.read().status());
         Map<String, Integer> after = counters();
         assertEquals(1, after.get("success.board"));
         assertEquals(1, after.get("error.move"));
@@ -209,7 +210,7 @@
     }
 
     @Test
-    void aClientThatLeavesIsNotInTheProxyAnyMore() throws Exception {
+    void disconnectedClientIsNotCountedAsConcurrent() throws Exception {
         ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpTestConnection client = rig.client();
@@ -217,40 +218,40 @@
         backend.next();
         assertEquals(1, counters().get("concurrent"));
         client.close();
-        awaitFigure("concurrent", 0);
+        awaitMetric("concurrent", 0);
     }
 
     /** Discovery goes on naming it, anew, at another address and with another start. */
     @Test
-    void aBackendThatIsOutGetsNothingWhateverDiscoverySays() throws Exception {
+    void disabledBackendGetsNoRequestsWhateverDiscoverySays() throws Exception {
         ScriptedServer a = ScriptedServer.saying("a");
         ScriptedServer b = ScriptedServer.saying("b");
         rig.start(Rig.entry("a", a.address(), "SERVING"), Rig.entry("b", b.address(), "SERVING"));
-        assertEquals(200, status("POST /control/backends/a/offline"));
-        assertEquals(200, status("POST /control/backends/a/offline"));
+        assertEquals(200, consoleStatus("POST /control/backends/a/offline"));
+        assertEquals(200, consoleStatus("POST /control/backends/a/offline"));
         assertEquals(1, counters().get("targets_disabled"));
         ScriptedServer moved = ScriptedServer.saying("moved");
         rig.discoveryLines.add(Rig.list(9, false, Rig.entry("a", a.address(), "DELETED")));
         rig.discoveryLines.add(Rig.list(10, true, Rig.entry("a", moved.address(), "SERVING"),
                 Rig.entry("b", b.address(), "SERVING"), Rig.entry("c", b.address(), "DRAINING")));
-        awaitFigure("targets", 3);
+        awaitMetric("targets", 3);
         for (int i = 0; i < 10; i++) {
             assertEquals("b", rig.call(Rig.get("r" + i, "")).text());
         }
         assertEquals(0, a.received.size() + moved.received.size());
-        assertEquals(200, status("POST /control/backends/a/online"));
+        assertEquals(200, consoleStatus("POST /control/backends/a/online"));
         awaitServedBy("moved");
     }
 
     private void awaitServedBy(String text) throws Exception {
-        long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
+        long deadlineNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         for (int i = 0; !rig.call(Rig.get(text + i, "")).text().equals(text); i++) {
-            assertTrue(System.nanoTime() < end, "nothing went to " + text);
+            assertTrue(System.nanoTime() < deadlineNs, "nothing went to " + text);
         }
     }
 
     @Test
-    void aDrainEmptiesTheProxyAndLosesNothing() throws Exception {
+    void drainClosesConnectionsAndLosesNoRequest() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         ScriptedServer backend = rig.backend((connection, request) -> {
             if (request.header("X-Request-Id").equals("held")) {
@@ -259,34 +260,34 @@
             connection.respond("200 OK", "ok");
         });
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
-        HttpTestConnection held = rig.client();
-        held.write(Rig.get("held", ""));
+        HttpTestConnection pending = rig.client();
+        pending.write(Rig.get("held", ""));
         backend.next();
         HttpTestConnection kept = rig.client();
         kept.write(Rig.get("kept", ""));
         assertNull(kept.read().header("Connection"));
         HttpTestConnection unused = rig.client();
-        assertEquals(200, status("POST /control/out-of-service"));
-        assertFalse(frontReady());
-        assertEquals(200, status("POST /control/out-of-service"));
-        assertEquals(200, status("GET /control/ready"), "it can serve");
+        assertEquals(200, consoleStatus("POST /control/out-of-service"));
+        assertFalse(isReadyForClients());
+        assertEquals(200, consoleStatus("POST /control/out-of-service"));
+        assertEquals(200, consoleStatus("GET /control/ready"), "it can serve");
         assertNull(kept.read(), "idle: closed in time");
         assertNull(unused.read(), "never used: closed in time");
         HttpTestConnection late = rig.client();
         late.write(Rig.get("late", ""));
         assertEquals("close", late.read().header("Connection"), "what still comes is served");
         release.countDown();
-        Message last = held.read();
+        Message last = pending.read();
         assertEquals(200, last.status());
         assertEquals("close", last.header("Connection"));
-        assertEquals(200, status("POST /control/in-service"));
-        assertTrue(frontReady());
+        assertEquals(200, consoleStatus("POST /control/in-service"));
+        assertTrue(isReadyForClients());
         assertNull(rig.call(Rig.get("again", "")).header("Connection"));
     }
 
     /** What has come so far ends with a line, so the decoder keeps none of its bytes. */
     @Test
-    void aDrainWaitsForARequestThatHasBegunToComeIn() throws Exception {
+    void drainWaitsForPartlyReceivedRequest() throws Exception {
         ScriptedServer backend = ScriptedServer.saying("ok");
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpTestConnection kept = rig.client();
@@ -295,50 +296,51 @@
         HttpTestConnection idle = rig.client();
         idle.write(Rig.get("b", ""));
         assertEquals("ok", idle.read().text());
-        assertEquals(200, status("POST /control/out-of-service"));
+        assertEquals(200, consoleStatus("POST /control/out-of-service"));
         String request = Rig.get("slow", "");
-        int line = request.indexOf("\r\n") + 2;
-        kept.write(request.substring(0, line));
+        int firstLineLength = request.indexOf("\r\n") + 2;
+        kept.write(request.substring(0, firstLineLength));
         assertNull(idle.read(), "what is idle is closed");
-        kept.write(request.substring(line));
+        kept.write(request.substring(firstLineLength));
         assertEquals("ok", kept.read().text());
     }
 
     @Test
-    void aDrainBrokenOffHalfWayClosesNothing() throws Exception {
+    void cancelledDrainClosesNothing() throws Exception {
         ScriptedServer backend = ScriptedServer.saying("ok");
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpTestConnection kept = rig.client();
-        assertEquals(200, status("POST /control/out-of-service"));
-        assertEquals(200, status("POST /control/in-service"));
-        assertEquals(200, status("POST /control/in-service"));
+        assertEquals(200, consoleStatus("POST /control/out-of-service"));
+        assertEquals(200, consoleStatus("POST /control/in-service"));
+        assertEquals(200, consoleStatus("POST /control/in-service"));
         kept.write(Rig.get("a", ""));
         assertNull(kept.read().header("Connection"));
-        assertTrue(frontReady());
+        assertTrue(isReadyForClients());
     }
 
     @Test
-    void aDrainedProxyEndsAtSigtermAndDoesNotComeBack() throws Exception {
+    void drainedProxyShutsDownAndCannotReturnToService() throws Exception {
         rig.start();
-        assertEquals(200, status("POST /control/out-of-service"));
+        assertEquals(200, consoleStatus("POST /control/out-of-service"));
         rig.proxy().shutDown();
-        assertEquals(503, status("POST /control/in-service"));
-        assertEquals(503, status("GET /control/ready"));
-        assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
+        assertEquals(503, consoleStatus("POST /control/in-service"));
+        assertEquals(503, consoleStatus("GET /control/ready"));
+        assertTrue(rig.proxy().awaitTermination(HttpTestConnection.TIMEOUT_MS));
     }
 
     @Test
-    void anAddressThatCannotBeUsedEndsTheStartWithOneLine() throws Exception {
+    void unusableConsoleAddressFailsTheStart() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String address = "127.0.0.1:" + taken.getLocalPort();
             Map<String, String> env = new HashMap<>(rig.environment());
             env.put("PROXY_CONSOLE", address);
             ProxyConfig config = ProxyConfig.read(env);
-            ProxyConfig.BadConfig bad = assertThrows(ProxyConfig.BadConfig.class, () -> ProxyServer.start(
-                    config, new EventLog(System.err), passhatch.LeastLoadedBalancer::new));
-            assertTrue(bad.getMessage().startsWith("PROXY_CONSOLE: "), bad.getMessage());
+            ProxyConfig.InvalidConfigException failure = assertThrows(
+                    ProxyConfig.InvalidConfigException.class, () -> ProxyServer.start(
+                            config, new EventLog(System.err), passhatch.LeastLoadedBalancer::new));
+            assertTrue(failure.getMessage().startsWith("PROXY_CONSOLE: "), failure.getMessage());
             env.put("PROXY_CONSOLE", "nowhere");
-            assertThrows(ProxyConfig.BadConfig.class, () -> ProxyConfig.read(env));
+            assertThrows(ProxyConfig.InvalidConfigException.class, () -> ProxyConfig.read(env));
         }
     }
 }
--- a/src/test/java/passhatch/proxy/DescriptorsTest.java
+++ b/src/test/java/passhatch/proxy/DescriptorsTest.java
@@ -20,7 +20,7 @@
 @Timeout(60)
 final class DescriptorsTest {
 
-    private static final int MOST = 256;
+    private static final int MAX_DESCRIPTORS = 256;
 
     @TempDir
     Path folder;
@@ -30,61 +30,61 @@
      * backends that were not known before are reached, many at once.
      */
     @Test
-    void theWatchAndBackendsAreReachedWhereClientsHoldAllTheyMay() throws Exception {
-        AtomicBoolean down = new AtomicBoolean();
-        CountDownLatch outage = new CountDownLatch(1);
-        CountDownLatch all = new CountDownLatch(20);
+    void discoveryAndBackendsAreReachedAtTheClientConnectionLimit() throws Exception {
+        AtomicBoolean discoveryDown = new AtomicBoolean();
+        CountDownLatch outageBegins = new CountDownLatch(1);
+        CountDownLatch allReached = new CountDownLatch(20);
         try (Rig rig = new Rig(folder)) {
             List<String> entries = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 entries.add(Rig.entry("s" + i, rig.backend((connection, request) -> {
-                    all.countDown();
-                    all.await();
+                    allReached.countDown();
+                    allReached.await();
                     connection.respond("200 OK", "x");
                 }).address(), "SERVING"));
             }
             ScriptedServer discovery = rig.backend((connection, request) -> {
-                if (down.get()) {
+                if (discoveryDown.get()) {
                     connection.respond("503 Down", "");
                     return;
                 }
-                boolean before = outage.getCount() > 0;
-                String text = (before ? Rig.list(8, true)
+                boolean beforeOutage = outageBegins.getCount() > 0;
+                String text = (beforeOutage ? Rig.list(8, true)
                         : Rig.list(9, true, entries.toArray(new String[0]))) + "\n";
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
-                outage.await();
-                if (before) {
+                outageBegins.await();
+                if (beforeOutage) {
                     connection.reset();
                 }
             });
-            rig.maxSockets(MOST);
+            rig.maxSockets(MAX_DESCRIPTORS);
             try (ProxyProcess proxy = new ProxyProcess(environment(rig, discovery),
-                    ProxyProcess.freeAddress(), MOST)) {
+                    ProxyProcess.freeAddress(), MAX_DESCRIPTORS)) {
                 proxy.awaitReady();
-                List<HttpTestConnection> asked = new ArrayList<>();
+                List<HttpTestConnection> activeClients = new ArrayList<>();
                 for (int i = 0; i < 60; i++) {
-                    asked.add(ask(HttpTestConnection.connect(proxy.address)));
+                    activeClients.add(checkReady(HttpTestConnection.connect(proxy.address)));
                 }
-                List<HttpTestConnection> silent = new ArrayList<>();
-                for (int i = 0; i < MOST; i++) {
-                    silent.add(HttpTestConnection.connect(proxy.address));
+                List<HttpTestConnection> idleClients = new ArrayList<>();
+                for (int i = 0; i < MAX_DESCRIPTORS; i++) {
+                    idleClients.add(HttpTestConnection.connect(proxy.address));
                 }
-                down.set(true);
-                outage.countDown();
+                discoveryDown.set(true);
+                outageBegins.countDown();
                 proxy.awaitLog("discovery answered 503");
-                down.set(false);
+                discoveryDown.set(false);
                 for (int i = 0; i < 20; i++) {
-                    asked.get(i).write(Rig.get("r" + i, "X-Deadline: 9000m\r\n"));
+                    activeClients.get(i).write(Rig.get("r" + i, "X-Deadline: 9000m\r\n"));
                 }
                 for (int i = 0; i < 20; i++) {
-                    assertEquals(200, asked.get(i).read().status());
+                    assertEquals(200, activeClients.get(i).read().status());
                 }
-                Path fds = Path.of("/proc", String.valueOf(proxy.process.pid()), "fd");
-                try (Stream<Path> held = Files.list(fds)) {
-                    assertTrue(held.count() < MOST);
+                Path descriptorDirectory = Path.of("/proc", String.valueOf(proxy.process.pid()), "fd");
+                try (Stream<Path> openDescriptors = Files.list(descriptorDirectory)) {
+                    assertTrue(openDescriptors.count() < MAX_DESCRIPTORS);
                 }
-                assertEquals(MOST, silent.size());
+                assertEquals(MAX_DESCRIPTORS, idleClients.size());
             }
         }
     }
@@ -96,7 +96,7 @@
         return environment;
     }
 
-    private static HttpTestConnection ask(HttpTestConnection client) throws Exception {
+    private static HttpTestConnection checkReady(HttpTestConnection client) throws Exception {
         client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
         assertEquals(200, client.read().status());
         return client;
--- a/src/test/java/passhatch/proxy/HandoverTest.java
+++ b/src/test/java/passhatch/proxy/HandoverTest.java
@@ -42,34 +42,34 @@
     }
 
     /** One process, as far as this part of it goes. */
-    private final class Side implements Handover.Listener {
+    private final class ProxyStub implements Handover.Listener {
         final EventLoop loop = group.next();
         final BlockingQueue<SharedState> states = new LinkedBlockingQueue<>();
         final BlockingQueue<Boolean> alone = new LinkedBlockingQueue<>();
         final Handover handover;
 
-        Side(Path place) throws Exception {
-            EventLog to = new EventLog(new PrintStream(log, true, StandardCharsets.UTF_8));
-            handover = loop.submit(() -> new Handover(loop, to, place, "n/0", this)).get();
+        ProxyStub(Path path) throws Exception {
+            EventLog eventLog = new EventLog(new PrintStream(log, true, StandardCharsets.UTF_8));
+            handover = loop.submit(() -> new Handover(loop, eventLog, path, "n/0", this)).get();
         }
 
         @Override
-        public void set(SharedState state) {
+        public void stateChanged(SharedState state) {
             states.add(state);
         }
 
         @Override
-        public void alone(boolean isAlone) {
+        public void aloneChanged(boolean isAlone) {
             alone.add(isAlone);
         }
 
-        boolean setOut(String id, boolean out) throws Exception {
-            CompletableFuture<Boolean> done = new CompletableFuture<>();
-            loop.execute(() -> handover.change(state -> state.withOut(id, out), done::complete));
-            return done.get(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        boolean setDisabled(String id, boolean disabled) throws Exception {
+            CompletableFuture<Boolean> result = new CompletableFuture<>();
+            loop.execute(() -> handover.change(state -> state.withDisabled(id, disabled), result::complete));
+            return result.get(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
-        SharedState next() throws Exception {
+        SharedState awaitState() throws Exception {
             return states.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
@@ -82,49 +82,49 @@
         }
     }
 
-    private Path state() {
+    private Path stateFile() {
         return folder.resolve("passhatch-n%2F0-state.json");
     }
 
     @Test
-    void whatIsSetOutlivesTheProcess() throws Exception {
-        Side first = new Side(folder);
-        assertTrue(first.setOut("a", true));
-        assertTrue(first.setOut("b", true));
-        assertTrue(first.setOut("a", false));
+    void stateOutlivesTheProcess() throws Exception {
+        ProxyStub first = new ProxyStub(folder);
+        assertTrue(first.setDisabled("a", true));
+        assertTrue(first.setDisabled("b", true));
+        assertTrue(first.setDisabled("a", false));
         first.close();
-        Side second = new Side(folder);
-        assertEquals(Set.of("b"), second.next().out());
+        ProxyStub second = new ProxyStub(folder);
+        assertEquals(Set.of("b"), second.awaitState().disabledBackends());
         second.close();
     }
 
     /** The yes comes no sooner than the other one follows. */
     @Test
-    void whatIsSetAtOneHoldsAtTheOtherByTheYes() throws Exception {
-        Side first = new Side(folder);
-        Side second = new Side(folder);
-        assertTrue(first.setOut("a", true));
-        assertEquals(Set.of("a"), second.states.poll().out());
-        assertTrue(second.setOut("b", true));
-        assertEquals(Set.of("a"), first.states.poll().out());
-        assertEquals(Set.of("a", "b"), first.states.poll().out());
+    void changeIsAppliedByThePeerBeforeItIsConfirmed() throws Exception {
+        ProxyStub first = new ProxyStub(folder);
+        ProxyStub second = new ProxyStub(folder);
+        assertTrue(first.setDisabled("a", true));
+        assertEquals(Set.of("a"), second.states.poll().disabledBackends());
+        assertTrue(second.setDisabled("b", true));
+        assertEquals(Set.of("a"), first.states.poll().disabledBackends());
+        assertEquals(Set.of("a", "b"), first.states.poll().disabledBackends());
         first.close();
         second.close();
     }
 
     @Test
     void aSuccessorIsOneThatStartedLaterAndServes() throws Exception {
-        Side first = new Side(folder);
+        ProxyStub first = new ProxyStub(folder);
         assertFalse(first.hasSuccessor());
         // Starts are told apart by the millisecond.
         long startedMs = System.currentTimeMillis();
         while (System.currentTimeMillis() <= startedMs) {
             Thread.onSpinWait();
         }
-        Side second = new Side(folder);
+        ProxyStub second = new ProxyStub(folder);
         assertFalse(first.hasSuccessor(), "it does not serve yet");
-        second.loop.submit(() -> second.handover.serving(true)).get();
-        first.loop.submit(() -> first.handover.serving(true)).get();
+        second.loop.submit(() -> second.handover.setServing(true)).get();
+        first.loop.submit(() -> first.handover.setServing(true)).get();
         assertTrue(first.hasSuccessor());
         assertFalse(second.hasSuccessor());
         assertFalse(first.alone.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
@@ -136,93 +136,93 @@
 
     /** A process that was killed leaves its sign, but not the lock on it. */
     @Test
-    void theSignOfADeadProcessIsClearedAway() throws Exception {
-        Path sign = folder.resolve("passhatch-n%2F0-dead.life");
-        Path shown = folder.resolve("passhatch-n%2F0-dead.json");
-        Files.writeString(sign, "");
-        Files.writeString(shown, "{\"startedMs\":99999999999999,\"serving\":true,\"follows\":0}");
-        Side side = new Side(folder);
-        assertFalse(side.hasSuccessor());
-        assertNull(side.alone.poll());
-        assertFalse(Files.exists(sign) || Files.exists(shown));
-        side.close();
+    void livenessFileOfADeadProcessIsDeleted() throws Exception {
+        Path livenessFile = folder.resolve("passhatch-n%2F0-dead.life");
+        Path statusFile = folder.resolve("passhatch-n%2F0-dead.json");
+        Files.writeString(livenessFile, "");
+        Files.writeString(statusFile, "{\"startedMs\":99999999999999,\"serving\":true,\"follows\":0}");
+        ProxyStub proxy = new ProxyStub(folder);
+        assertFalse(proxy.hasSuccessor());
+        assertNull(proxy.alone.poll());
+        assertFalse(Files.exists(livenessFile) || Files.exists(statusFile));
+        proxy.close();
     }
 
     @Test
-    void whatCannotBeReadIsSaidAndStopsNothing() throws Exception {
-        for (String bad : List.of("", "{\"version\":3,\"out\":[\"a\"", "{\"version\":3,\"out\":[1]}", "[]",
-                "\u0000\u0001")) {
-            Files.writeString(state(), bad);
+    void unreadableStateIsLoggedAndIgnored() throws Exception {
+        for (String malformed : List.of("", "{\"version\":3,\"out\":[\"a\"",
+                "{\"version\":3,\"out\":[1]}", "[]", "\u0000\u0001")) {
+            Files.writeString(stateFile(), malformed);
             log.reset();
-            Side side = new Side(folder);
-            assertNull(side.states.poll());
-            assertTrue(log.toString(StandardCharsets.UTF_8).contains("cannot be read"), bad);
-            assertTrue(side.setOut("a", true));
-            assertEquals(Set.of("a"), SharedState.of(Files.readString(state())).out());
-            side.close();
+            ProxyStub proxy = new ProxyStub(folder);
+            assertNull(proxy.states.poll());
+            assertTrue(log.toString(StandardCharsets.UTF_8).contains("cannot be read"), malformed);
+            assertTrue(proxy.setDisabled("a", true));
+            assertEquals(Set.of("a"), SharedState.fromJson(Files.readString(stateFile())).disabledBackends());
+            proxy.close();
         }
     }
 
     /** A file that is spoilt while a process lives takes nothing from it, nor from its successor. */
     @Test
-    void whatHoldsIsWrittenAgainOverWhatIsSpoilt() throws Exception {
-        Side first = new Side(folder);
-        assertTrue(first.setOut("a", true));
-        Files.writeString(state(), "{");
+    void appliedStateReplacesACorruptFile() throws Exception {
+        ProxyStub first = new ProxyStub(folder);
+        assertTrue(first.setDisabled("a", true));
+        Files.writeString(stateFile(), "{");
         first.hasSuccessor();
-        Side second = new Side(folder);
-        assertEquals(Set.of("a"), second.next().out());
-        assertTrue(second.setOut("b", true));
-        assertEquals(Set.of("a"), first.next().out());
-        assertEquals(Set.of("a", "b"), first.next().out());
+        ProxyStub second = new ProxyStub(folder);
+        assertEquals(Set.of("a"), second.awaitState().disabledBackends());
+        assertTrue(second.setDisabled("b", true));
+        assertEquals(Set.of("a"), first.awaitState().disabledBackends());
+        assertEquals(Set.of("a", "b"), first.awaitState().disabledBackends());
         first.close();
         second.close();
     }
 
     /** A process may die at any point of writing; only what has its name counts. */
     @Test
-    void whatWasLeftHalfWrittenIsNotRead() throws Exception {
-        Side first = new Side(folder);
-        assertTrue(first.setOut("a", true));
+    void partlyWrittenFileIsNotRead() throws Exception {
+        ProxyStub first = new ProxyStub(folder);
+        assertTrue(first.setDisabled("a", true));
         first.close();
         Files.writeString(folder.resolve("passhatch-n%2F0-dead.tmp"), "{\"version\":9,\"out\":[");
-        Side second = new Side(folder);
-        assertEquals(Set.of("a"), second.next().out());
+        ProxyStub second = new ProxyStub(folder);
+        assertEquals(Set.of("a"), second.awaitState().disabledBackends());
         second.close();
     }
 
     @Test
-    void whatCannotBeKeptDoesNotHold() throws Exception {
-        Side side = new Side(folder);
-        Files.createDirectories(state().resolve("in the way"));
-        assertFalse(side.setOut("a", true));
-        assertNull(side.states.poll());
-        side.close();
+    void changeThatCannotBeStoredIsNotApplied() throws Exception {
+        ProxyStub proxy = new ProxyStub(folder);
+        Files.createDirectories(stateFile().resolve("in the way"));
+        assertFalse(proxy.setDisabled("a", true));
+        assertNull(proxy.states.poll());
+        proxy.close();
     }
 
     @Test
-    void withNoPlaceToKeepAnythingItHoldsForThisProcess() throws Exception {
-        for (Path none : new Path[] {null, folder.resolve("missing")}) {
-            Side side = new Side(none);
-            assertTrue(side.setOut("a", true));
-            assertEquals(Set.of("a"), side.next().out());
-            assertFalse(side.hasSuccessor());
-            side.close();
+    void changeAppliesToThisProcessWithoutAStateDirectory() throws Exception {
+        for (Path unusable : new Path[] {null, folder.resolve("missing")}) {
+            ProxyStub proxy = new ProxyStub(unusable);
+            assertTrue(proxy.setDisabled("a", true));
+            assertEquals(Set.of("a"), proxy.awaitState().disabledBackends());
+            assertFalse(proxy.hasSuccessor());
+            proxy.close();
         }
     }
 
     /** Also where one name begins like another. */
     @ParameterizedTest
     @ValueSource(strings = {"n1", "n", "n/0-b", "n/0-"})
-    void proxiesOfOtherNamesAreOthers(String name) throws Exception {
-        Side side = new Side(folder);
-        try (StateFolder other = new StateFolder(folder, name);
-                StateFolder same = new StateFolder(folder, "n/0")) {
-            assertTrue(other.peers().isEmpty());
-            assertEquals(1, same.peers().size(), "its own fellow alone");
-            assertTrue(side.setOut("a", true));
-            assertNull(other.readState());
+    void proxiesOfOtherNamesAreNotPeers(String name) throws Exception {
+        ProxyStub proxy = new ProxyStub(folder);
+        try (StateDirectory otherName = new StateDirectory(folder, name);
+                StateDirectory sameName = new StateDirectory(folder, "n/0")) {
+            assertTrue(otherName.peers().isEmpty());
+            assertEquals(1, sameName.peers().size(), "its own fellow alone");
+            assertTrue(proxy.setDisabled("a", true));
+            assertNull(otherName.readState());
         }
-        side.close();
+        proxy.close();
     }
 }
--- a/src/test/java/passhatch/proxy/LargeBodiesTest.java
+++ b/src/test/java/passhatch/proxy/LargeBodiesTest.java
@@ -295,7 +295,7 @@
         rig.proxy().shutDown();
         assertNull(idleClient.read(), "shutdown must close idle connections");
         assertEquals(totalBytes - readBytes, client.input().readNBytes(totalBytes - readBytes).length);
-        assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
+        assertTrue(rig.proxy().awaitTermination(HttpTestConnection.TIMEOUT_MS));
         client.close();
     }
 
--- a/src/test/java/passhatch/proxy/LateConnectionsTest.java
+++ b/src/test/java/passhatch/proxy/LateConnectionsTest.java
@@ -73,7 +73,7 @@
                         Object result = method.invoke(actions, args);
                         if (method.getName().equals("send") && sends.incrementAndGet() == blockingSend) {
                             connecting.countDown();
-                            rig.proxy().inLoop(
+                            rig.proxy().submitToLoop(
                                     () -> resumeLoop.await(HttpTestConnection.TIMEOUT_MS,
                                     TimeUnit.MILLISECONDS));
                         }
--- a/src/test/java/passhatch/proxy/LeavingClientsTest.java
+++ b/src/test/java/passhatch/proxy/LeavingClientsTest.java
@@ -96,7 +96,7 @@
                     actions.send(request.id(), "s", 0);
                 } else if (request.id().startsWith("connects")) {
                     actions.send(request.id(), "s", 0);
-                    rig.proxy().inLoop(() ->
+                    rig.proxy().submitToLoop(() ->
                             loopReleased.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 } else if (request.id().startsWith("breaks")) {
                     actions.send(request.id(), "t", 0);
@@ -302,7 +302,7 @@
         HttpTestConnection client = rig.client();
         client.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
         assertEquals(200, client.read().status());
-        rig.proxy().inLoop(() -> {
+        rig.proxy().submitToLoop(() -> {
             client.write(Rig.get("a", ""));
             disconnect.perform(client);
             return null;
@@ -341,14 +341,14 @@
         for (int i = 0; i < requestCount; i++) {
             requests.append(Rig.get(String.valueOf(i), ""));
         }
-        rig.proxy().inLoop(() -> {
+        rig.proxy().submitToLoop(() -> {
             client.write(requests.toString());
             return null;
         }).get();
         for (int i = 0; i < 4; i++) {
             next(receivedIds);
         }
-        rig.proxy().inLoop(() -> {
+        rig.proxy().submitToLoop(() -> {
             heldIds.forEach(id -> actions.refuse(id, 0));
             heldIds.clear();
             return null;
@@ -362,7 +362,7 @@
         // The response to another client takes some iterations of the event loop.
         Rig.awaitReady(rig.proxy().address());
         rig.advanceClock(300);
-        rig.proxy().inLoop(() -> {
+        rig.proxy().submitToLoop(() -> {
             heldIds.forEach(id -> actions.send(id, "s", 0));
             return null;
         });
--- a/src/test/java/passhatch/proxy/ProxyProcess.java
+++ b/src/test/java/passhatch/proxy/ProxyProcess.java
@@ -26,13 +26,14 @@
     }
 
     /** The same from a shell that has run something before. */
-    ProxyProcess(Map<String, String> environment, String before) throws IOException, InterruptedException {
-        this(environment, freeAddress(), before);
+    ProxyProcess(Map<String, String> environment, String shellPrefix)
+            throws IOException, InterruptedException {
+        this(environment, freeAddress(), shellPrefix);
         awaitReady();
     }
 
     void awaitReady() throws IOException, InterruptedException {
-        while (!listens()) {
+        while (!isListening()) {
             Thread.sleep(10);
         }
         Rig.awaitReady(address);
@@ -44,26 +45,27 @@
     }
 
     /** The same, with no more than so many descriptors. */
-    ProxyProcess(Map<String, String> environment, InetSocketAddress address, int descriptors)
+    ProxyProcess(Map<String, String> environment, InetSocketAddress address, int maxDescriptors)
             throws IOException {
-        this(environment, address, "ulimit -n " + descriptors + "; ");
+        this(environment, address, "ulimit -n " + maxDescriptors + "; ");
     }
 
-    private ProxyProcess(Map<String, String> environment, InetSocketAddress address, String before)
+    private ProxyProcess(Map<String, String> environment, InetSocketAddress address, String shellPrefix)
             throws IOException {
         this.address = address;
         Map<String, String> env = new HashMap<>(environment);
         env.put("PROXY_LISTEN", "127.0.0.1:" + address.getPort());
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", before + launcher() + "\"$@\"", "sh", java,
-                "-cp", System.getProperty("java.class.path"), "passhatch.adapter.Main", "serve");
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c",
+                shellPrefix + commandPrefix() + "\"$@\"", "sh", java, "-cp",
+                System.getProperty("java.class.path"), "passhatch.adapter.Main", "serve");
         builder.environment().putAll(env);
         process = builder.start();
         log = process.errorReader(StandardCharsets.UTF_8);
     }
 
     /** What the command that is used in service has before its java. */
-    private static String launcher() throws IOException {
+    private static String commandPrefix() throws IOException {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(l -> l.startsWith("run = ")).findFirst().orElseThrow();
         return run.substring(run.indexOf('"') + 1, run.indexOf("java "));
@@ -75,7 +77,7 @@
         }
     }
 
-    boolean listens() {
+    boolean isListening() {
         try (HttpTestConnection connection = HttpTestConnection.connect(address)) {
             return connection.socket.isConnected();
         } catch (IOException refused) {
@@ -89,11 +91,11 @@
 
     /** Waits until the log has a line with the text. */
     void awaitLog(String text) throws IOException, InterruptedException {
-        long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
+        long deadlineNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         for (String line = ""; !line.contains(text);) {
             if (log.ready()) {
                 line = log.readLine();
-            } else if (!process.isAlive() || System.nanoTime() > end) {
+            } else if (!process.isAlive() || System.nanoTime() > deadlineNs) {
                 throw new AssertionError("no line '" + text + "'; the last: " + line);
             } else {
                 Thread.sleep(5);
@@ -101,7 +103,7 @@
         }
     }
 
-    int awaitEnd() throws InterruptedException {
+    int awaitExit() throws InterruptedException {
         if (!process.waitFor(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
             throw new AssertionError("the process did not end");
         }
--- a/src/test/java/passhatch/proxy/ProxyServerTest.java
+++ b/src/test/java/passhatch/proxy/ProxyServerTest.java
@@ -86,7 +86,7 @@
             rig.discoveryLines.add(Rig.list(8, true, up("s", backend)));
             Rig.awaitReady(proxy.address());
         } finally {
-            proxy.stopNow();
+            proxy.terminateNow();
         }
     }
 
@@ -99,7 +99,7 @@
         try {
             Rig.awaitReady(proxy.address());
         } finally {
-            proxy.stopNow();
+            proxy.terminateNow();
         }
     }
 
--- a/src/test/java/passhatch/proxy/RehearsalTest.java
+++ b/src/test/java/passhatch/proxy/RehearsalTest.java
@@ -25,15 +25,15 @@
     Path folder;
 
     @Test
-    void servesItsRequestsAndEnds() throws Exception {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        assertEquals(0, Rehearsal.run(new PrintStream(said, true, StandardCharsets.UTF_8)),
-                () -> said.toString(StandardCharsets.UTF_8));
+    void servesItsRequestsAndTerminates() throws Exception {
+        ByteArrayOutputStream errors = new ByteArrayOutputStream();
+        assertEquals(0, Rehearsal.run(new PrintStream(errors, true, StandardCharsets.UTF_8)),
+                () -> errors.toString(StandardCharsets.UTF_8));
     }
 
     /** A proxy that starts from the classes of the jar takes twice the time in which its backend errs. */
     @Test
-    void theArchiveThatTheProxyStartsFromIsMadeByTheBuild() throws IOException {
+    void buildCreatesTheArchiveThatTheRunCommandUses() throws IOException {
         List<String> lines = Files.readAllLines(Path.of("deploy/balancer.toml"));
         String build = lines.stream().filter(l -> l.startsWith("build = ")).findFirst().orElseThrow();
         String run = lines.stream().filter(l -> l.startsWith("run = ")).findFirst().orElseThrow();
@@ -45,15 +45,15 @@
 
     /** The archive holds what a start needs: with it no class of the proxy's is read from elsewhere. */
     @Test
-    void theArchiveOfTheCommandHoldsTheNetworkCodeAndTheModule() throws Exception {
+    void archiveHoldsTheNetworkCodeAndTheModule() throws Exception {
         Path jar = folder.resolve("passhatch.jar");
-        Process pack = new ProcessBuilder(tool("jar"), "--create", "--file", jar.toString(), "-C",
+        Process jarProcess = new ProcessBuilder(tool("jar"), "--create", "--file", jar.toString(), "-C",
                 "target/classes", ".").inheritIO().start();
-        assertTrue(pack.waitFor(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-        String classes = jar + System.getProperty("path.separator") + System.getProperty("java.class.path");
+        assertTrue(jarProcess.waitFor(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        String classPath = jar + System.getProperty("path.separator") + System.getProperty("java.class.path");
         Path archive = folder.resolve("classes.jsa");
         Process rehearsal = new ProcessBuilder(tool("java"), "-XX:ArchiveClassesAtExit=" + archive,
-                "-Xlog:class+load:file=" + folder.resolve("loaded"), "-cp", jars(classes),
+                "-Xlog:class+load:file=" + folder.resolve("loaded"), "-cp", jarsOnly(classPath),
                 "passhatch.adapter.Main", "rehearse").inheritIO().start();
         assertTrue(rehearsal.waitFor(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
         assertEquals(0, rehearsal.exitValue());
@@ -67,7 +67,7 @@
 
     /** Netty's own events would set it up at the first buffer, for a third of a start's processor time. */
     @Test
-    void noFlightRecorderIsSetUp() throws Exception {
+    void flightRecorderIsNotInitialized() throws Exception {
         String loaded = loadedByRehearsal();
         assertTrue(loaded.contains(" io.netty.buffer.AdaptivePoolingAllocator "), "no buffer was made");
         assertFalse(loaded.contains(" jdk.jfr.internal.MetadataLoader "), "the flight recorder is set up");
@@ -75,7 +75,7 @@
 
     /** Each shape of concatenation would be put together at run time, where it is first used. */
     @Test
-    void stringsAreConcatenatedByCodeOfTheBuild() throws IOException {
+    void stringConcatenationIsCompiledInline() throws IOException {
         try (Stream<Path> files = Files.walk(Path.of("target/classes"))) {
             List<Path> classes = files.filter(f -> f.toString().endsWith(".class")).toList();
             assertFalse(classes.isEmpty());
@@ -88,13 +88,13 @@
 
     /** They cost a tenth of a start, for a random id that needs no secrecy. */
     @Test
-    void noSecurityProviderIsSetUp() throws Exception {
+    void securityProvidersAreNotInitialized() throws Exception {
         assertFalse(loadedByRehearsal().contains(" sun.security.provider.NativePRNG "));
     }
 
     /** A record's own hash code is put together at run time, at the first list of backends. */
     @Test
-    void noMethodOfARecordIsMadeAtRunTime() throws Exception {
+    void recordMethodsAreNotGeneratedAtRunTime() throws Exception {
         assertFalse(loadedByRehearsal().contains(" java.lang.runtime.ObjectMethods "));
     }
 
@@ -114,9 +114,9 @@
     }
 
     /** An archive takes classes from jars alone. */
-    private static String jars(String path) {
+    private static String jarsOnly(String classPath) {
         return String.join(System.getProperty("path.separator"),
-                List.of(path.split(System.getProperty("path.separator"))).stream()
+                List.of(classPath.split(System.getProperty("path.separator"))).stream()
                         .filter(p -> p.endsWith(".jar")).toList());
     }
 }
--- a/src/test/java/passhatch/proxy/ReloadTest.java
+++ b/src/test/java/passhatch/proxy/ReloadTest.java
@@ -42,24 +42,24 @@
         other.close();
     }
 
-    private ScriptedServer saying(String text) throws IOException {
+    private ScriptedServer respondingWith(String text) throws IOException {
         return rig.backend((connection, request) -> connection.respond("200 OK", text));
     }
 
-    private static String up(String name, ScriptedServer backend) {
+    private static String servingEntry(String name, ScriptedServer backend) {
         return Rig.entry(name, backend.address(), "SERVING");
     }
 
-    private static String at(InetSocketAddress address) {
+    private static String loopbackText(InetSocketAddress address) {
         return "127.0.0.1:" + address.getPort();
     }
 
     private static void awaitServedBy(InetSocketAddress proxy, String text) throws Exception {
-        String got = "";
-        for (int i = 0; !got.equals(text); i++) {
+        String received = "";
+        for (int i = 0; !received.equals(text); i++) {
             try (HttpTestConnection client = HttpTestConnection.connect(proxy)) {
                 client.write(Rig.get(text + i, ""));
-                got = client.read().text();
+                received = client.read().text();
             }
         }
     }
@@ -67,33 +67,33 @@
     /** SIGHUP would end a JVM that does not handle it, and be lost on one started with it ignored. */
     @ParameterizedTest
     @ValueSource(strings = {"", "trap '' HUP TERM; "})
-    void sighupMovesTheWatchAndNeverEndsTheProcess(String before) throws Exception {
-        ScriptedServer a = saying("a");
-        rig.discoveryLines.add(Rig.list(8, true, up("s", a)));
+    void sighupMovesTheWatchAndNeverEndsTheProcess(String shellPrefix) throws Exception {
+        ScriptedServer a = respondingWith("a");
+        rig.discoveryLines.add(Rig.list(8, true, servingEntry("s", a)));
         Map<String, String> env = rig.environment();
-        try (ProxyProcess proxy = new ProxyProcess(env, before)) {
+        try (ProxyProcess proxy = new ProxyProcess(env, shellPrefix)) {
             Files.writeString(Path.of(env.get("PROXY_CONFIG")), "{\"seed\":");
             proxy.signal("HUP");
             proxy.awaitLog("configuration not taken over");
             awaitServedBy(proxy.address, "a");
-            rig.environmentWithDiscovery(at(other.discovery().address()));
+            rig.environmentWithDiscovery(loopbackText(other.discovery().address()));
             proxy.signal("HUP");
             proxy.signal("HUP");
-            other.discoveryLines.add(Rig.list(3, true, up("t", saying("b"))));
+            other.discoveryLines.add(Rig.list(3, true, servingEntry("t", respondingWith("b"))));
             awaitServedBy(proxy.address, "b");
             proxy.signal("HUP");
             proxy.signal("TERM");
-            assertEquals(0, proxy.awaitEnd());
+            assertEquals(0, proxy.awaitExit());
         }
     }
 
     /** Index 8 of the old address means nothing to the new one, where the same index is another list. */
     @Test
-    void theNewAddressIsAskedForTheWholeListFirst() throws Exception {
-        rig.start(up("s", saying("a")));
-        Map<String, String> env = rig.environmentWithDiscovery(at(other.discovery().address()));
+    void newAddressIsAskedForTheFullListFirst() throws Exception {
+        rig.start(servingEntry("s", respondingWith("a")));
+        Map<String, String> env = rig.environmentWithDiscovery(loopbackText(other.discovery().address()));
         rig.proxy().reload(env);
-        other.discoveryLines.add(Rig.list(8, true, up("t", saying("b"))));
+        other.discoveryLines.add(Rig.list(8, true, servingEntry("t", respondingWith("b"))));
         assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().next().startLine());
         assertTrue(other.discovery().next().startLine().contains("watch=1&from=8"));
         awaitServedBy(rig.proxy().address(), "b");
@@ -106,20 +106,20 @@
 
     /** What the old address tells before the new one speaks counts as told, so it must be heard. */
     @Test
-    void theOldAddressIsHeardUntilTheNewOneSpeaks() throws Exception {
-        ScriptedServer a = saying("a");
-        rig.start(up("s", a));
+    void oldAddressIsWatchedUntilTheNewOneResponds() throws Exception {
+        ScriptedServer a = respondingWith("a");
+        rig.start(servingEntry("s", a));
         assertEquals("a", rig.call(Rig.get("r", "")).text());
-        rig.proxy().reload(rig.environmentWithDiscovery(at(other.discovery().address())));
+        rig.proxy().reload(rig.environmentWithDiscovery(loopbackText(other.discovery().address())));
         other.discovery().next();
         rig.discoveryLines.add(Rig.list(9, false, Rig.entry("s", a.address(), "DELETED"),
-                up("t", saying("b"))));
+                servingEntry("t", respondingWith("b"))));
         awaitServedBy(rig.proxy().address(), "b");
     }
 
     /** A module that asks by itself takes each list for a sign that it watches: it would never ask there. */
     @Test
-    void aListFromTheOldAddressDoesNotPassForAWatchOfTheNewOne() throws Exception {
+    void listFromTheOldAddressDoesNotCountAsAWatchOfTheNewOne() throws Exception {
         rig.replaceInConfig("\"discovery\":\"pushed\"", "\"discovery\":\"on_request\"")
                 .replaceInConfig("\"coldFrom\":0.4", "\"coldFrom\":0.4,\"askEveryUs\":9000000");
         rig.module((settings, seed, actions) -> ScriptedModule.of((name, args) -> {
@@ -127,24 +127,24 @@
                 actions.watchServers();
             }
         }));
-        rig.start(up("s", saying("a")));
-        rig.proxy().reload(rig.environmentWithDiscovery(at(other.discovery().address())));
+        rig.start(servingEntry("s", respondingWith("a")));
+        rig.proxy().reload(rig.environmentWithDiscovery(loopbackText(other.discovery().address())));
         rig.discoveryLines.add(Rig.list(9, false));
         assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().next().startLine());
     }
 
     @Test
-    void theListStaysWhileTheNewAddressIsDown() throws Exception {
-        rig.start(up("s", saying("a")));
-        InetSocketAddress down;
+    void listIsKeptWhileTheNewAddressIsDown() throws Exception {
+        rig.start(servingEntry("s", respondingWith("a")));
+        InetSocketAddress closedAddress;
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            down = (InetSocketAddress) closed.getLocalSocketAddress();
+            closedAddress = (InetSocketAddress) closed.getLocalSocketAddress();
         }
-        rig.proxy().reload(rig.environmentWithDiscovery(at(down)));
+        rig.proxy().reload(rig.environmentWithDiscovery(loopbackText(closedAddress)));
         rig.awaitLog("discovery: Connection refused");
         assertEquals("a", rig.call(Rig.get("r", "")).text());
-        rig.proxy().reload(rig.environmentWithDiscovery(at(other.discovery().address())));
-        other.discoveryLines.add(Rig.list(1, true, up("t", saying("b"))));
+        rig.proxy().reload(rig.environmentWithDiscovery(loopbackText(other.discovery().address())));
+        other.discoveryLines.add(Rig.list(1, true, servingEntry("t", respondingWith("b"))));
         awaitServedBy(rig.proxy().address(), "b");
     }
 }
--- a/src/test/java/passhatch/proxy/Rig.java
+++ b/src/test/java/passhatch/proxy/Rig.java
@@ -41,7 +41,7 @@
     private final AtomicLong clockOffsetNs = new AtomicLong();
     /** Time in nanoseconds at which the proxy's clock is frozen until a test advances it; 0 if it runs. */
     private long frozenAtNs;
-    private ProxyServer.Module module = passhatch.LeastLoadedBalancer::new;
+    private ProxyServer.ModuleFactory module = passhatch.LeastLoadedBalancer::new;
 
     /** An entry of {@link #discoveryLines} that ends the watch with a reset. */
     static final String END_OF_WATCH = "end";
@@ -98,7 +98,7 @@
         return this;
     }
 
-    Rig module(ProxyServer.Module newModule) {
+    Rig module(ProxyServer.ModuleFactory newModule) {
         module = newModule;
         return this;
     }
@@ -269,7 +269,7 @@
 
     private boolean hasEnded() {
         try {
-            return proxy.awaitEnd(0);
+            return proxy.awaitTermination(0);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return false;
@@ -279,7 +279,7 @@
     @Override
     public void close() throws IOException {
         if (proxy != null && !hasEnded()) {
-            proxy.stopNow();
+            proxy.terminateNow();
         }
         for (Closeable resource : resources) {
             resource.close();
--- a/src/test/java/passhatch/proxy/SendGuardTest.java
+++ b/src/test/java/passhatch/proxy/SendGuardTest.java
@@ -39,7 +39,7 @@
         assertFalse(guard.mayWrite(new WriteConditions(false, true, true, false, true)));
         assertFalse(guard.mayWrite(new WriteConditions(false, true, true, true, false)));
         for (SendGuard.HeldBack reason : SendGuard.HeldBack.values()) {
-            assertEquals(1, metrics().get("held_back." + Figures.lowerCase(reason)));
+            assertEquals(1, metrics().get("held_back." + Metrics.lowerCase(reason)));
         }
     }
 
--- a/src/test/java/passhatch/proxy/SettingsTest.java
+++ b/src/test/java/passhatch/proxy/SettingsTest.java
@@ -46,20 +46,21 @@
             "drainGraceUs":2000000  | "drainGraceUs":-1  | rules.drainGraceUs
             "balancers":1           | "balancers":0      | copies
             """)
-    void wrongSettingsEndTheStartWithOneLine(String from, String to, String said) throws Exception {
+    void invalidSettingFailsTheStartWithOneLine(String original, String replacement, String expectedMessage)
+            throws Exception {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         try (Rig rig = new Rig(folder)) {
-            assertEquals(2, ProxyServer.serve(rig.replaceInConfig(from, to).environment(),
+            assertEquals(2, ProxyServer.serve(rig.replaceInConfig(original, replacement).environment(),
                     new PrintStream(err)));
         }
         String text = err.toString(StandardCharsets.UTF_8);
         assertEquals(1, text.lines().count(), text);
-        assertTrue(text.contains(said), text);
+        assertTrue(text.contains(expectedMessage), text);
     }
 
     /** Side by side in one JVM: the same names with other effects, and classes that the other lacks. */
     @Test
-    void twoProxiesDoNotSeeEachOthersSettings() throws Exception {
+    void proxiesInOneJvmKeepTheirOwnSettings() throws Exception {
         try (Rig one = new Rig(folder); Rig other = new Rig(otherFolder)) {
             ScriptedServer backend = one.backend((connection, request) -> connection.respond("200 OK", "x"));
             String entry = Rig.entry("s", backend.address(), "SERVING");
@@ -80,13 +81,13 @@
 
     /** A request that names no tenant takes nothing from the first one's share. */
     @Test
-    void whoNamesNoTenantIsNobodys() throws Exception {
+    void requestWithoutATenantBelongsToNoTenant() throws Exception {
         BlockingQueue<Integer> tenants = new LinkedBlockingQueue<>();
         try (Rig rig = new Rig(folder)) {
             rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
-                if (args[args.length - 1] instanceof Balancer.Request r) {
-                    tenants.add(r.tenant());
-                    actions.refuse(r.id(), 0);
+                if (args[args.length - 1] instanceof Balancer.Request request) {
+                    tenants.add(request.tenant());
+                    actions.refuse(request.id(), 0);
                 }
             })).start();
             rig.call(Rig.get("a", "X-Tenant: acme\r\n"));
--- a/src/test/java/passhatch/proxy/ShutdownTest.java
+++ b/src/test/java/passhatch/proxy/ShutdownTest.java
@@ -20,23 +20,23 @@
 
     /** SIGKILL does not wait for a class's deadline of 10 s. */
     @Test
-    void whatWouldBeKilledUnansweredIsAnsweredBefore() throws Exception {
+    void pendingRequestIsAnsweredBeforeSigkill() throws Exception {
         try (Rig rig = new Rig(folder)) {
             ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
             HttpTestConnection client = rig.client();
             client.write(Rig.post("/move", "stuck", ""));
             backend.next();
-            long start = System.nanoTime();
+            long startNs = System.nanoTime();
             rig.proxy().shutDown();
             assertEquals(502, client.read().status());
-            assertTrue((System.nanoTime() - start) / 1_000_000 < 8_000);
-            assertTrue(rig.proxy().awaitEnd(HttpTestConnection.TIMEOUT_MS));
+            assertTrue((System.nanoTime() - startNs) / 1_000_000 < 8_000);
+            assertTrue(rig.proxy().awaitTermination(HttpTestConnection.TIMEOUT_MS));
         }
     }
 
     @Test
-    void answersWhatItHoldsAndWhatStillComesAndThenExitsWithZero() throws Exception {
+    void servesPendingAndNewRequestsThenExitsWithZero() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (Rig rig = new Rig(folder)) {
             ScriptedServer backend = rig.backend((connection, request) -> {
@@ -47,8 +47,8 @@
             });
             rig.discoveryLines.add(Rig.list(8, true, Rig.entry("s", backend.address(), "SERVING")));
             try (ProxyProcess proxy = new ProxyProcess(rig.environment())) {
-                HttpTestConnection held = HttpTestConnection.connect(proxy.address);
-                held.write(Rig.get("held", ""));
+                HttpTestConnection pending = HttpTestConnection.connect(proxy.address);
+                pending.write(Rig.get("held", ""));
                 backend.next();
                 HttpTestConnection kept = HttpTestConnection.connect(proxy.address);
                 HttpTestConnection unused = HttpTestConnection.connect(proxy.address);
@@ -63,17 +63,17 @@
                 backend.next();
                 kept.write(Rig.get("kept", ""));
                 backend.next();
-                while (proxy.listens()) {
+                while (proxy.isListening()) {
                     Thread.sleep(10);
                 }
                 assertNull(unused.read(), "an idle connection is closed while others are served");
                 release.countDown();
-                for (HttpTestConnection client : new HttpTestConnection[] {held, late, kept}) {
-                    Message answer = client.read();
-                    assertEquals(200, answer.status());
-                    assertEquals("close", answer.header("Connection"));
+                for (HttpTestConnection client : new HttpTestConnection[] {pending, late, kept}) {
+                    Message response = client.read();
+                    assertEquals(200, response.status());
+                    assertEquals("close", response.header("Connection"));
                 }
-                assertEquals(0, proxy.awaitEnd());
+                assertEquals(0, proxy.awaitExit());
             }
         }
     }
--- a/src/test/java/passhatch/proxy/UpgradeTest.java
+++ b/src/test/java/passhatch/proxy/UpgradeTest.java
@@ -29,7 +29,7 @@
     @TempDir
     Path folder;
     @TempDir
-    Path shared;
+    Path stateDirectory;
     private Rig rig;
 
     @BeforeEach
@@ -43,14 +43,14 @@
     }
 
     /** A process and its console. */
-    private final class Version implements AutoCloseable {
+    private final class ReadyProxy implements AutoCloseable {
         final InetSocketAddress console = ProxyProcess.freeAddress();
         final ProxyProcess proxy;
 
-        Version(InetSocketAddress listen, String... entries) throws Exception {
+        ReadyProxy(InetSocketAddress listen, String... entries) throws Exception {
             Map<String, String> env = new HashMap<>(rig.environment());
             env.put("PROXY_CONSOLE", "127.0.0.1:" + console.getPort());
-            env.put("TMPDIR", shared.toString());
+            env.put("TMPDIR", stateDirectory.toString());
             ScriptedServer discovery = rig.backend((connection, request) -> {
                 String line = Rig.list(8, true, entries) + "\n";
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -58,9 +58,9 @@
             });
             env.put("PROXY_DISCOVERY", "127.0.0.1:" + discovery.address().getPort());
             proxy = new ProxyProcess(env, listen);
-            long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
-            while (!says("GET /control/ready")) {
-                if (System.nanoTime() > end) {
+            long deadlineNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
+            while (!succeeds("GET /control/ready")) {
+                if (System.nanoTime() > deadlineNs) {
                     proxy.close();
                     throw new AssertionError("it did not get ready");
                 }
@@ -68,11 +68,11 @@
             }
         }
 
-        boolean says(String call) {
+        boolean succeeds(String methodAndPath) {
             try (HttpTestConnection caller = HttpTestConnection.connect(console)) {
-                caller.write(call + " HTTP/1.1\r\nHost: c\r\n\r\n");
+                caller.write(methodAndPath + " HTTP/1.1\r\nHost: c\r\n\r\n");
                 return caller.read().status() == 200;
-            } catch (IOException notThereYet) {
+            } catch (IOException notListeningYet) {
                 return false;
             }
         }
@@ -86,13 +86,13 @@
     private static String call(InetSocketAddress proxy, String id) throws IOException {
         try (HttpTestConnection client = HttpTestConnection.connect(proxy)) {
             client.write(Rig.get(id, ""));
-            Message answer = client.read();
-            return answer == null ? "nothing" : answer.status() + " " + answer.text();
+            Message response = client.read();
+            return response == null ? "nothing" : response.status() + " " + response.text();
         }
     }
 
     @Test
-    void noClientNoticesAndBansStay() throws Exception {
+    void restartLosesNoRequestAndKeepsBackendsDisabled() throws Exception {
         ScriptedServer a = ScriptedServer.saying("a");
         CountDownLatch release = new CountDownLatch(1);
         ScriptedServer b = rig.backend((connection, request) -> {
@@ -101,71 +101,71 @@
             }
             connection.respond("200 OK", "b");
         });
-        String[] list = {Rig.entry("a", a.address(), "SERVING"), Rig.entry("b", b.address(), "SERVING")};
+        String[] entries = {Rig.entry("a", a.address(), "SERVING"), Rig.entry("b", b.address(), "SERVING")};
         InetSocketAddress listen = ProxyProcess.freeAddress();
-        try (Version first = new Version(listen, list)) {
-            assertTrue(first.says("POST /control/backends/a/offline"));
-            HttpTestConnection held = HttpTestConnection.connect(listen);
-            held.write(Rig.get("held", ""));
+        try (ReadyProxy first = new ReadyProxy(listen, entries)) {
+            assertTrue(first.succeeds("POST /control/backends/a/offline"));
+            HttpTestConnection pending = HttpTestConnection.connect(listen);
+            pending.write(Rig.get("held", ""));
             assertEquals("held", b.next().header("X-Request-Id"));
             AtomicBoolean stop = new AtomicBoolean();
             AtomicInteger served = new AtomicInteger();
-            CompletableFuture<String> clients = CompletableFuture.supplyAsync(() -> {
-                String answer = "200 b";
-                for (int i = 0; !stop.get() && answer.equals("200 b"); i++) {
+            CompletableFuture<String> clientResult = CompletableFuture.supplyAsync(() -> {
+                String response = "200 b";
+                for (int i = 0; !stop.get() && response.equals("200 b"); i++) {
                     try {
-                        answer = call(listen, "c" + i);
+                        response = call(listen, "c" + i);
                         served.incrementAndGet();
                     } catch (IOException broken) {
-                        answer = broken.toString();
+                        response = broken.toString();
                     }
                 }
-                return answer;
+                return response;
             });
-            try (Version second = new Version(listen, list)) {
-                assertTrue(first.says("POST /control/backends/a/offline"));
+            try (ReadyProxy second = new ReadyProxy(listen, entries)) {
+                assertTrue(first.succeeds("POST /control/backends/a/offline"));
                 first.proxy.signal("TERM");
                 first.proxy.awaitLog("another process serves");
-                int before = served.get();
+                int servedBefore = served.get();
                 release.countDown();
-                Message answer = held.read();
-                assertEquals(200, answer.status());
-                assertEquals("close", answer.header("Connection"));
-                assertEquals(0, first.proxy.awaitEnd());
-                while (served.get() < before + 20 && !clients.isDone()) {
+                Message response = pending.read();
+                assertEquals(200, response.status());
+                assertEquals("close", response.header("Connection"));
+                assertEquals(0, first.proxy.awaitExit());
+                while (served.get() < servedBefore + 20 && !clientResult.isDone()) {
                     Thread.sleep(5);
                 }
                 stop.set(true);
-                assertEquals("200 b", clients.get(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                assertEquals("200 b", clientResult.get(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 assertEquals(0, a.received.size(), "what is out by hand is out for the successor too");
-                assertTrue(second.says("POST /control/backends/a/online"));
-                long end = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
+                assertTrue(second.succeeds("POST /control/backends/a/online"));
+                long deadlineNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
                 for (int i = 0; a.received.isEmpty(); i++) {
                     call(listen, "again" + i);
-                    assertTrue(System.nanoTime() < end, "it gets nothing after the call back");
+                    assertTrue(System.nanoTime() < deadlineNs, "it gets nothing after the call back");
                 }
             }
         }
     }
 
     @Test
-    void aDrainHoldsForTheSuccessorUntilItsEnd() throws Exception {
+    void successorStaysOutOfServiceUntilReturned() throws Exception {
         ScriptedServer a = ScriptedServer.saying("a");
         String entry = Rig.entry("a", a.address(), "SERVING");
         InetSocketAddress listen = ProxyProcess.freeAddress();
-        try (Version first = new Version(listen, entry)) {
-            assertTrue(first.says("POST /control/out-of-service"));
-            try (Version second = new Version(listen, entry)) {
+        try (ReadyProxy first = new ReadyProxy(listen, entry)) {
+            assertTrue(first.succeeds("POST /control/out-of-service"));
+            try (ReadyProxy second = new ReadyProxy(listen, entry)) {
                 first.proxy.signal("TERM");
-                assertEquals(0, first.proxy.awaitEnd());
-                assertEquals(503, ready(listen));
-                assertTrue(second.says("POST /control/in-service"));
-                assertEquals(200, ready(listen));
+                assertEquals(0, first.proxy.awaitExit());
+                assertEquals(503, readyStatus(listen));
+                assertTrue(second.succeeds("POST /control/in-service"));
+                assertEquals(200, readyStatus(listen));
             }
         }
     }
 
-    private static int ready(InetSocketAddress proxy) throws IOException {
+    private static int readyStatus(InetSocketAddress proxy) throws IOException {
         try (HttpTestConnection front = HttpTestConnection.connect(proxy)) {
             front.write("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n");
             return front.read().status();
@@ -173,14 +173,14 @@
     }
 
     @Test
-    void aSuccessorThatIsKilledLeavesTheFirstServing() throws Exception {
+    void firstProcessServesAfterItsSuccessorIsKilled() throws Exception {
         ScriptedServer a = ScriptedServer.saying("a");
         String entry = Rig.entry("a", a.address(), "SERVING");
         InetSocketAddress listen = ProxyProcess.freeAddress();
-        try (Version first = new Version(listen, entry)) {
-            try (Version second = new Version(listen, entry)) {
+        try (ReadyProxy first = new ReadyProxy(listen, entry)) {
+            try (ReadyProxy second = new ReadyProxy(listen, entry)) {
                 second.proxy.signal("KILL");
-                second.proxy.awaitEnd();
+                second.proxy.awaitExit();
             }
             for (int i = 0; i < 20; i++) {
                 assertEquals("200 a", call(listen, "r" + i));
@@ -188,31 +188,32 @@
             first.proxy.signal("TERM");
             first.proxy.awaitLog("shutting down");
             assertEquals("200 a", call(listen, "late"), "with no successor it takes what still comes");
-            assertEquals(0, first.proxy.awaitEnd());
+            assertEquals(0, first.proxy.awaitExit());
         }
     }
 
     @Test
-    void aPredecessorThatIsKilledLeavesTheSecondServing() throws Exception {
+    void successorServesAfterTheFirstProcessIsKilled() throws Exception {
         ScriptedServer a = ScriptedServer.saying("a");
         String entry = Rig.entry("a", a.address(), "SERVING");
         InetSocketAddress listen = ProxyProcess.freeAddress();
-        try (Version first = new Version(listen, entry); Version second = new Version(listen, entry)) {
+        try (ReadyProxy first = new ReadyProxy(listen, entry);
+                ReadyProxy second = new ReadyProxy(listen, entry)) {
             first.proxy.signal("KILL");
-            first.proxy.awaitEnd();
+            first.proxy.awaitExit();
             for (int i = 0; i < 20; i++) {
                 assertEquals("200 a", call(listen, "r" + i));
             }
-            assertTrue(second.says("POST /control/backends/a/offline"));
-            assertFalse(second.says("POST /control/backends/z/offline"));
+            assertTrue(second.succeeds("POST /control/backends/a/offline"));
+            assertFalse(second.succeeds("POST /control/backends/z/offline"));
         }
     }
 
     @Test
-    void aCorruptFileStopsNoStart() throws Exception {
+    void proxyStartsDespiteACorruptStateFile() throws Exception {
         ScriptedServer a = ScriptedServer.saying("a");
-        Files.writeString(shared.resolve("passhatch-n0-state.json"), "{\"version\":");
-        try (Version first = new Version(ProxyProcess.freeAddress(),
+        Files.writeString(stateDirectory.resolve("passhatch-n0-state.json"), "{\"version\":");
+        try (ReadyProxy first = new ReadyProxy(ProxyProcess.freeAddress(),
                 Rig.entry("a", a.address(), "SERVING"))) {
             assertEquals("200 a", call(first.proxy.address, "r"));
         }
