--- a/src/main/java/passhatch/proxy/Clock.java
+++ b/src/main/java/passhatch/proxy/Clock.java
@@ -4,9 +4,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * The module's clock: microseconds that start at the Unix time of this process's start and then follow the
- * monotonic clock. Unix times of discovery can be compared with it as they are, and a step of the wall clock
- * neither moves it back nor makes a known start time look like a new one.
+ * The decision module's clock, in microseconds. It starts at the Unix time at which this process started and
+ * then follows the monotonic clock. So it can be compared with Unix times from discovery directly, and a
+ * step of the wall clock neither moves it back nor makes a known start time of a backend look like a new
+ * one.
  */
 final class Clock {
 
@@ -18,17 +19,18 @@
         this(System::nanoTime);
     }
 
-    /** A clock that follows the nanoseconds given. */
+    /** A clock that follows the given source of monotonic nanoseconds. */
     Clock(LongSupplier nanoTime) {
         this.nanoTime = nanoTime;
         this.originNs = nanoTime.getAsLong();
     }
 
+    /** The current time in microseconds. */
     long nowUs() {
         return originUs + (nanoTime.getAsLong() - originNs) / 1000;
     }
 
-    /** A Unix time in milliseconds on this clock; 0, which stands for long ago, stays 0. */
+    /** Converts a Unix time in milliseconds to this clock; 0, which means long ago, remains 0. */
     static long fromUnixMs(long unixMs) {
         return TimeUnit.MILLISECONDS.toMicros(unixMs);
     }
--- a/src/main/java/passhatch/proxy/Console.java
+++ b/src/main/java/passhatch/proxy/Console.java
@@ -29,25 +29,25 @@
 import passhatch.proxy.EventLog.Kind;
 
 /**
- * The operators' address: one call to a connection. Guards against callers that hold connections without a
- * whole call: each has its time, and where there are too many the oldest of them goes, so that none of them
- * keeps a real call out.
+ * HTTP server for operators, with one request per connection. Clients that keep connections open without a
+ * complete request cannot lock operators out: such a connection times out, and if there are too many
+ * connections, the oldest is closed, preferably one that is not waiting for its response.
  */
 final class Console {
 
-    /** Connections at a time: this part of the process's descriptors is the console's. */
+    /** Maximum number of open connections; the process reserves that many descriptors for the console. */
     static final int MAX_CONNECTIONS = 24;
     private static final int ACCEPT_BACKLOG = 128;
     private static final int MAX_BODY_BYTES = 1 << 13;
-    /** A call is whole within this time. */
+    /** Time within which a request must be complete; later it is answered with status 408. */
     private static final long REQUEST_TIMEOUT_MS = 2_000;
-    /** What was answered is closed after this, if the caller does not do it first. */
+    /** Time between the response and closing the connection, if the client does not close it first. */
     private static final long CLOSE_DELAY_MS = 500;
 
     private final EventLoop loop;
     private final EventLog log;
     private final ConsoleRoutes routes;
-    /** In the order of connecting. */
+    /** Open connections, oldest first. */
     private final Set<Connection> connections = new LinkedHashSet<>();
     private Channel listener;
 
@@ -57,7 +57,12 @@
         this.routes = routes;
     }
 
-    /** Starts to listen and waits until it does. */
+    /**
+     * Starts to listen and waits until the address is bound.
+     *
+     * @return the bound address
+     * @throws IOException if the address cannot be bound
+     */
     InetSocketAddress listen(InetSocketAddress address) throws IOException, InterruptedException {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
@@ -77,6 +82,7 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Stops listening; open connections are not closed. */
     void close() {
         if (listener != null) {
             listener.close();
@@ -92,9 +98,10 @@
         }
     }
 
+    /** State of a connection. */
     private enum State { AWAITING_REQUEST, PROCESSING, RESPONDED }
 
-    /** One connection. */
+    /** One connection and its request. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final SocketChannel channel;
         private State state = State.AWAITING_REQUEST;
@@ -140,12 +147,13 @@
             if (response.allowedMethod() != null) {
                 message.headers().set(HttpHeaderNames.ALLOW, response.allowedMethod().name());
             }
-            // Closed at once, what the caller still sends could make a reset overtake the answer.
+            // If the connection were closed at once, data that the client still sends could cause a reset
+            // that arrives before the response.
             channel.writeAndFlush(message).addListener(done -> channel.shutdownOutput());
             loop.schedule(() -> channel.close(), CLOSE_DELAY_MS, TimeUnit.MILLISECONDS);
         }
 
-        /** A caller that ends its sending before its call is whole has nothing more to say. */
+        /** Closes the connection if the client shuts down its output before its request is complete. */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof ChannelInputShutdownEvent
@@ -161,7 +169,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            log.line(Kind.CONSOLE, "console: " + cause);
+            log.line(Kind.CONSOLE, "console: connection closed after an error: " + cause);
             ctx.close();
         }
     }
--- a/src/main/java/passhatch/proxy/ConsoleRoutes.java
+++ b/src/main/java/passhatch/proxy/ConsoleRoutes.java
@@ -7,29 +7,44 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Which call of the console does what; see docs/console.md. */
+/** Maps requests to the console to operations; see docs/console.md. */
 final class ConsoleRoutes {
 
     private static final String CONTROL_PREFIX = "/control/";
     private static final String BACKENDS_PREFIX = "backends/";
 
-    /** What staff can have done; everything happens on the loop. */
+    /** The operations that operators can request. They are called, and call back, on the event loop. */
     interface Operations {
-        /** Whether this process can serve. */
+        /** Whether this process can serve clients. */
         boolean isReady();
 
+        /** The metrics, one per line. */
         String counters();
 
+        /** Whether a list of discovery ever contained the backend. */
         boolean isKnown(String backend);
 
-        /** Takes a backend out, or back; then says whether that holds from now on. */
+        /**
+         * Disables a backend, or enables it again.
+         *
+         * @param onDone receives true once the change is in effect, or false if it failed
+         */
         void setDisabled(String backend, boolean disabled, Consumer<Boolean> onDone);
 
-        /** Takes the proxy out of service, or back; then says whether that holds from now on. */
+        /**
+         * Takes the proxy out of service, or returns it to service.
+         *
+         * @param onDone receives true once the change is in effect, or false if it failed
+         */
         void setOutOfService(boolean outOfService, Consumer<Boolean> onDone);
     }
 
-    /** An answer of the console: a status, a text and, with 405, the method that the path takes. */
+    /**
+     * A response of the console.
+     *
+     * @param text the body
+     * @param allowedMethod the method that the path accepts, with status 405; null with any other status
+     */
     record Response(HttpResponseStatus status, String text, HttpMethod allowedMethod) {
         static Response of(HttpResponseStatus status) {
             return new Response(status, status.reasonPhrase() + "\n", null);
@@ -42,7 +57,7 @@
         this.operations = operations;
     }
 
-    /** Does what is asked, and replies once, at once or later. */
+    /** Carries out a request and responds exactly once, immediately or later on the event loop. */
     void handle(HttpMethod method, String uri, Consumer<Response> respond) {
         String path;
         try {
@@ -72,7 +87,7 @@
         }
     }
 
-    /** The call on one backend, such as {@code s-5be2a07c/offline}; the id is percent-encoded. */
+    /** Handles a request on one backend, such as {@code s-5be2a07c/offline}; the id is percent-encoded. */
     private void handleBackend(HttpMethod method, String idAndAction, Consumer<Response> respond) {
         int slash = idAndAction.indexOf('/');
         String action = idAndAction.substring(slash + 1);
--- a/src/main/java/passhatch/proxy/DrainState.java
+++ b/src/main/java/passhatch/proxy/DrainState.java
@@ -5,14 +5,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether this proxy takes clients. The front's {@code /ready}, the clients' connections, the console and the
- * end of the process all go by this one state, which the loop owns.
+ * Whether this proxy accepts clients and how it closes their connections. The response to {@code /ready}, the
+ * client connections, the console and the shutdown all depend on this one state, which the event loop owns.
  */
 final class DrainState {
 
     /**
-     * After a call out of service: the front sends new connections for another 0.2 s after the first no, and
-     * by then a client in use has had an answer that ends its connection.
+     * Time between taking the proxy out of service and closing idle connections. The load balancer in front
+     * of the proxies sends new connections for another 0.2 s after {@code /ready} first fails, and by the
+     * end of this time a client that is sending requests has received a response that closes its connection.
      */
     private static final long IDLE_CLOSE_DELAY_MS = 1_500;
 
@@ -27,7 +28,7 @@
         this.loop = loop;
     }
 
-    /** Takes the proxy out of service; nothing changes where it is out already. */
+    /** Takes the proxy out of service; has no effect if it is out of service or shutting down already. */
     void takeOutOfService() {
         if (outOfService || shuttingDown) {
             return;
@@ -39,7 +40,11 @@
         }, IDLE_CLOSE_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Takes clients again; false where the process is about to end. */
+    /**
+     * Returns the proxy to service.
+     *
+     * @return false if the process is shutting down, which cannot be undone
+     */
     boolean returnToService() {
         if (shuttingDown) {
             return false;
@@ -53,37 +58,38 @@
         return true;
     }
 
-    /** The process is about to end: it says that it is not ready, and there is no way back. */
+    /** Starts the shutdown: {@code /ready} fails from now on, and the proxy cannot return to service. */
     void beginShutdown() {
         shuttingDown = true;
     }
 
-    /** Another process takes its clients: each answer sends one there. */
+    /** Closes each connection after its last response, so that its client connects to the other process. */
     void closeAfterResponses() {
         closeAfterResponse = true;
     }
 
-    /** And lets go of its clients: each answer ends its connection, and idle ones are closed. */
+    /** Closes each connection after its last response, and idle connections too. */
     void closeAfterResponsesAndIdle() {
         closeAfterResponse = true;
         closeIdle = true;
     }
 
+    /** Whether the process is shutting down. */
     boolean isShuttingDown() {
         return shuttingDown;
     }
 
-    /** Whether new clients are welcome. */
+    /** Whether new clients are to connect here, as {@code /ready} says. */
     boolean acceptsClients() {
         return !outOfService && !shuttingDown;
     }
 
-    /** Whether the last answer that a connection owes ends it. */
+    /** Whether a connection is closed after the last response that is pending on it. */
     boolean closesAfterResponse() {
         return closeAfterResponse;
     }
 
-    /** Whether connections with nothing open are closed. */
+    /** Whether connections without a request in progress are closed. */
     boolean closesIdle() {
         return closeIdle;
     }
--- a/src/main/java/passhatch/proxy/EventLog.java
+++ b/src/main/java/passhatch/proxy/EventLog.java
@@ -7,9 +7,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The proxy's log: one line per abnormal event. Guards against a reader that is slower than the events
- * come: writing would hold up the loop. So of each kind of event that others bring about only some lines are
- * written in a time, and the next says how many were not.
+ * The proxy's log, with one line per abnormal event. If events arrive faster than the log's reader takes
+ * them, writing would block the event loop. So for events that clients, backends and other outside causes
+ * trigger, the number of lines of each kind per time window is limited; a line in a later window says how
+ * many were suppressed.
  */
 final class EventLog {
 
@@ -17,20 +18,23 @@
     private static final int MAX_FREQUENT_LINES_PER_WINDOW = 60;
     private static final long WINDOW_NS = TimeUnit.SECONDS.toNanos(10);
 
-    /** What others can bring about as often as they like. */
+    /** Kinds of events that outside causes can trigger at any rate; each has a limit of its own. */
     enum Kind {
         REQUEST(MAX_LINES_PER_WINDOW),
         CLIENT(MAX_LINES_PER_WINDOW),
         EVICTION(MAX_LINES_PER_WINDOW),
         ATTEMPT(MAX_LINES_PER_WINDOW),
         BACKEND(MAX_LINES_PER_WINDOW),
-        /** What this proxy knows of the servers hangs on these, and the proxy itself sets their pace. */
+        /**
+         * Limited to more lines, as all knowledge about the backends comes from discovery and the proxy
+         * itself decides how often it calls discovery.
+         */
         DISCOVERY(MAX_FREQUENT_LINES_PER_WINDOW),
         MODULE(MAX_LINES_PER_WINDOW),
         CONSOLE(MAX_LINES_PER_WINDOW),
-        /** A rule was broken: a fault of this program. */
+        /** A rule on sending attempts was violated, which is an error in this program. */
         VIOLATION(MAX_FREQUENT_LINES_PER_WINDOW),
-        /** The process did nothing for a while. */
+        /** The event loop did not run for a while. */
         STANDSTILL(MAX_LINES_PER_WINDOW);
 
         private final int maxLinesPerWindow;
@@ -40,7 +44,7 @@
         }
     }
 
-    /** The lines of one kind. */
+    /** Line counts of one kind in its current time window. */
     private static final class Window {
         long startNs = System.nanoTime();
         int lines;
@@ -54,17 +58,18 @@
         this.out = out;
     }
 
+    /** Writes a line, with no limit. */
     void line(String text) {
         out.println(Instant.now() + " " + text);
     }
 
-    /** A line of a kind that may come often. */
+    /** Writes a line unless its kind has reached the limit of the current window. */
     void line(Kind kind, String text) {
         Window window = windows.computeIfAbsent(kind, k -> new Window());
         long nowNs = System.nanoTime();
         if (nowNs - window.startNs >= WINDOW_NS) {
             if (window.suppressed > 0) {
-                line(window.suppressed + " more lines on " + kind + " were not written");
+                line(window.suppressed + " log lines of kind " + kind + " were suppressed");
             }
             window.startNs = nowNs;
             window.lines = 0;
@@ -77,7 +82,7 @@
         }
     }
 
-    /** An error in this program, with its trace: it is to be mended, not to be lived with. */
+    /** Logs an error in this program, with its stack trace and the word BUG. */
     void bug(String text, Throwable cause) {
         out.println(Instant.now() + " BUG " + text);
         cause.printStackTrace(out);
--- a/src/main/java/passhatch/proxy/Handover.java
+++ b/src/main/java/passhatch/proxy/Handover.java
@@ -11,42 +11,58 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What staff set by hand, kept so that it holds for a second process of this proxy too and outlives this one;
- * and the view of that other process, while there is one. Owned by the loop; see docs/upgrade.md.
+ * Shares the state that operators set with the other processes of this proxy, through files that outlive
+ * each process, and keeps track of which other processes are running. Owned by the event loop; see
+ * docs/upgrade.md.
  */
 final class Handover {
 
-    /** How often the files are looked at: the other process waits for it before it says yes. */
+    /** Interval of reading the files; another process waits that long before it confirms a change. */
     private static final long POLL_INTERVAL_MS = 50;
-    /** A yes waits so long for the other process to follow; one that hangs must not hold it back for good. */
+    /**
+     * Longest time for which the confirmation of a change waits for the other processes to apply it. A
+     * process that hangs must not delay it for ever.
+     */
     private static final long MAX_CONFIRMATION_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    /** Hears what holds now. */
+    /** Is notified of changes. */
     interface Listener {
+        /** The state that is now in effect. */
         void stateChanged(SharedState state);
 
-        /** Whether this process has the machine to itself. */
+        /** Called when the first other process of this proxy appears and when the last one has ended. */
         void aloneChanged(boolean alone);
     }
 
-    /** An answer that waits for the other process. */
+    /**
+     * A stored change whose confirmation waits for the other processes to apply it.
+     *
+     * @param version version of the changed state
+     * @param deadlineNs when to confirm it in any case, on the scale of {@link System#nanoTime}
+     * @param onDone receives the confirmation
+     */
     private record PendingChange(long version, long deadlineNs, Consumer<Boolean> onDone) { }
 
     private final EventLoop loop;
     private final EventLog log;
     private final Listener listener;
-    /** Null where there is no place to keep anything: then all holds for this process alone. */
+    /** Null if there is no usable directory; then changes apply to this process only. */
     private final StateDirectory directory;
     private final List<PendingChange> pendingChanges = new ArrayList<>();
     private List<StateDirectory.Peer> peers = List.of();
     private SharedState state = SharedState.INITIAL;
-    /** The text that was last read, not to complain of the same twice. */
+    /** The text that was read last, so that the same unreadable text is logged only once. */
     private String lastReadText;
     private boolean serving;
     private boolean alone = true;
     private Future<?> pollTimer;
 
-    /** Looks for other processes, and for what is set, once before it returns. */
+    /**
+     * Reads the state and looks for other processes before it returns, and at intervals from then on.
+     *
+     * @param path the directory for the files, or null if there is none
+     * @param proxyName the name that the processes of this proxy share
+     */
     Handover(EventLoop loop, EventLog log, Path path, String proxyName, Listener listener) {
         this.loop = loop;
         this.log = log;
@@ -66,29 +82,36 @@
         try {
             return new StateDirectory(path, proxyName);
         } catch (IOException | RuntimeException e) {
-            log.line("handover: nothing can be kept in " + path + ": " + e);
+            log.line("handover: the state directory " + path
+                    + " cannot be used, so changes apply to this process only: " + e);
             return null;
         }
     }
 
-    /** Whether another process lives. */
+    /** Whether another process of this proxy was running at the last poll. */
     boolean hasPeer() {
         return !peers.isEmpty();
     }
 
-    /** Whether a process that started later serves: it takes all that this one leaves. */
+    /** Whether a process that started later accepts clients, so that this one can leave them to it. */
     boolean hasSuccessor() {
         poll();
         return peers.stream().anyMatch(p -> p.serving() && directory.startedAfterThis(p));
     }
 
-    /** Tells the others that this process takes clients, or that it does not any more. */
+    /** Publishes whether this process accepts clients. */
     void setServing(boolean isServing) {
         serving = isServing;
         publishStatus();
     }
 
-    /** Changes what is set; says yes once that is kept and the other process follows it too. */
+    /**
+     * Changes the state.
+     *
+     * @param update computes the changed state from the current one
+     * @param onDone receives true once the change is stored and the other processes apply it too, or have not
+     *     done so in time; false if it could not be stored and so is not in effect
+     */
     void change(UnaryOperator<SharedState> update, Consumer<Boolean> onDone) {
         if (directory == null) {
             apply(update.apply(state));
@@ -108,7 +131,8 @@
                 return;
             }
             readState();
-            // Above what the other follows too: it may have read a file that this process could not.
+            // Also higher than the versions that other processes apply, as one may have read a file that this
+            // process could not read.
             long latestVersion = peers.stream().mapToLong(StateDirectory.Peer::appliedVersion)
                     .reduce(state.version(), Math::max);
             SharedState changed = update.apply(state).withVersion(latestVersion + 1);
@@ -118,7 +142,7 @@
             pendingChanges.add(new PendingChange(changed.version(), deadlineNs, onDone));
             completePendingChanges();
         } catch (Exception e) {
-            log.line("handover: not kept, so it does not hold: " + e);
+            log.line("handover: the change could not be stored and is not in effect: " + e);
             onDone.accept(false);
         }
     }
@@ -131,11 +155,12 @@
             readState();
             peers = directory.peers();
         } catch (IOException | RuntimeException e) {
-            log.line(EventLog.Kind.CONSOLE, "handover: " + e);
+            log.line(EventLog.Kind.CONSOLE, "handover: polling the state directory failed: " + e);
         }
         if (alone != peers.isEmpty()) {
             alone = peers.isEmpty();
-            log.line(alone ? "handover: the other process is gone" : "handover: another process is here");
+            log.line(alone ? "handover: the other process has ended"
+                    : "handover: another process of this proxy is running");
             listener.aloneChanged(alone);
         }
         completePendingChanges();
@@ -154,7 +179,7 @@
             log.line("handover: what staff set cannot be read and is ignored: "
                     + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             if (state.version() > 0) {
-                // What this process follows still holds, and has to outlive it.
+                // The state that this process applies is still in effect and must outlive the process.
                 directory.writeState(state);
             }
             return;
@@ -177,7 +202,7 @@
         try {
             directory.publishStatus(serving, state.version());
         } catch (IOException e) {
-            log.line(EventLog.Kind.CONSOLE, "handover: " + e);
+            log.line(EventLog.Kind.CONSOLE, "handover: the status of this process cannot be written: " + e);
         }
     }
 
@@ -193,7 +218,7 @@
                 || peers.stream().allMatch(p -> p.appliedVersion() >= change.version());
     }
 
-    /** Takes this process's signs away; what is set stays. */
+    /** Stops polling and deletes this process's own files; the state stays. */
     void close() {
         if (directory == null) {
             return;
@@ -202,7 +227,7 @@
         try {
             directory.close();
         } catch (IOException e) {
-            log.line("handover: " + e);
+            log.line("handover: the files of this process cannot be deleted: " + e);
         }
     }
 }
--- a/src/main/java/passhatch/proxy/HangUpSignal.java
+++ b/src/main/java/passhatch/proxy/HangUpSignal.java
@@ -4,20 +4,21 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, which ends a JVM that does not handle it. The JDK offers signals in {@code sun.misc} alone
- * (module jdk.unsupported); naming its classes in the source gives a warning that no annotation turns off, so
- * they are reached by reflection, here and nowhere else.
+ * Handles SIGHUP, which ends a JVM without a handler. The JDK offers signal handlers only in
+ * {@code sun.misc} (module jdk.unsupported). Naming these classes in the source causes a warning that no
+ * annotation suppresses, so this class, and no other, uses them by reflection.
  */
 final class HangUpSignal {
 
     private HangUpSignal() { }
 
     /**
-     * From now on runs the action at each SIGHUP, on a thread of the JVM's. A JVM that was started with the
-     * signal ignored, as under nohup, leaves it so without an error and never calls the action; there is no
-     * undoing that in the process, so the command that starts it sets the signal back.
+     * Runs the action at each SIGHUP from now on, on a thread of the JVM. A JVM that was started with the
+     * signal ignored, as by nohup, keeps ignoring it without an error and never runs the action. The process
+     * cannot change that, so the command that starts it has to restore the signal's default action.
      *
-     * @return false where the signal cannot be had: then it keeps its effect
+     * @return false if no handler could be installed or the signal is ignored; then the signal keeps its
+     *     effect
      */
     static boolean onEach(Runnable action) {
         try {
--- a/src/main/java/passhatch/proxy/Metrics.java
+++ b/src/main/java/passhatch/proxy/Metrics.java
@@ -6,12 +6,12 @@
 import passhatch.Balancer.GiveUpReason;
 import passhatch.Balancer.ServerCounts;
 
-/** What this process has done since its start, counted where it happens and put into words when asked. */
+/** Counters of this process since its start, and their text form for operators. */
 final class Metrics {
 
     private static final String PREFIX = "edge_proxy.";
 
-    /** How a request ended. */
+    /** The result of a request, as it is counted. */
     enum RequestResult {
         SUCCESS("success"),
         OVERLOAD("overload"),
@@ -24,13 +24,18 @@
         }
     }
 
-    /** Takes metrics, by name. */
+    /** Receives metrics. */
     interface Sink {
+        /**
+         * Adds a metric.
+         *
+         * @param name its name without the prefix {@code edge_proxy.}
+         */
         void add(String name, long value);
     }
 
     private final List<String> classNames;
-    /** By end and class. */
+    /** Number of ended requests, by result and request class. */
     private final long[][] endedRequests;
     private long dispatches;
     private long retries;
@@ -41,27 +46,33 @@
         this.endedRequests = new long[RequestResult.values().length][classes.size()];
     }
 
-    /** Counts a request that its client waited for to the end. */
+    /** Counts a request that ended while its client was still waiting. */
     void requestEnded(int requestClass, RequestResult result) {
         endedRequests[result.ordinal()][requestClass]++;
     }
 
-    /** Counts an attempt whose last byte was written. */
+    /** Counts an attempt whose last byte has been written to its connection. */
     void attemptSent() {
         dispatches++;
     }
 
-    /** Counts an attempt after the first of its request. */
+    /** Counts an attempt that is not the first of its request. */
     void retrySent() {
         retries++;
     }
 
-    /** Counts a request that ends without a server's answer. */
+    /** Counts a request that ended without a response of a server. */
     void requestGivenUp(GiveUpReason reason) {
         gaveUpRequests[reason.ordinal()]++;
     }
 
-    /** All figures, one a line. */
+    /**
+     * All metrics as text, one per line.
+     *
+     * @param concurrent number of requests in progress
+     * @param servers numbers of listed and of unavailable servers
+     * @param sources add the metrics of other components
+     */
     String text(int concurrent, ServerCounts servers, List<Consumer<Sink>> sources) {
         StringBuilder text = new StringBuilder();
         Sink sink = (name, value) -> appendLine(text, name, value);
@@ -83,7 +94,7 @@
         return text.toString();
     }
 
-    /** The name of a constant as figures have it. */
+    /** The name of a constant as it appears in metric names. */
     static String lowerCase(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/passhatch/proxy/NettyDefaults.java
+++ b/src/main/java/passhatch/proxy/NettyDefaults.java
@@ -1,16 +1,18 @@
 package passhatch.proxy;
 
 /**
- * What Netty is told before its classes load, unless the command line says otherwise. A proxy starts on part
- * of a core while its clients or its server wait for it, so nothing is set up that it never uses.
+ * System properties for Netty, which must be set before its classes are loaded; the command line overrides
+ * them. A proxy starts on a fraction of a core while clients or a backend wait for it, so parts of Netty
+ * that the proxy never uses are not initialized.
  */
 final class NettyDefaults {
 
     private NettyDefaults() { }
 
+    /** Sets the properties that have no value yet. */
     static void apply() {
-        // At the first buffer Netty would start the JDK's flight recorder for its own events: a third of a
-        // start's processor time, whether anybody records or not.
+        // With the first buffer Netty would initialize the JDK's flight recorder for its own events, which
+        // takes a third of the processor time of a start, even if nothing is recorded.
         setIfAbsent("io.netty.jfr.enabled", "false");
     }
 
--- a/src/main/java/passhatch/proxy/ProxyConfig.java
+++ b/src/main/java/passhatch/proxy/ProxyConfig.java
@@ -17,17 +17,24 @@
 import passhatch.adapter.WireException;
 
 /**
- * What this proxy is told at its start, checked.
+ * The validated configuration of this proxy, from the environment and the file that it names.
  *
+ * @param name the proxy's name, which all its processes share
+ * @param listen address on which clients are accepted
+ * @param discovery address of discovery
+ * @param seed seed of the decision module's random numbers
+ * @param settings settings of the decision module
  * @param classes names of the request classes, by position
  * @param tenants names of the tenants, by position; empty where there are none
  * @param zones names of the zones, by position
- * @param machineTypes names of the machine kinds, by position
- * @param connectTimeoutUs a connection that takes longer counts as not to be had
- * @param maxDescriptors file descriptors this process may hold
- * @param cachedList the list as this proxy last had it
- * @param console the operators' address, or null where there is none
- * @param stateDirectory where files may be kept that another process of this proxy reads, or null
+ * @param machineTypes names of the machine types, by position
+ * @param connectTimeoutUs a connection to a backend that takes longer to establish, in microseconds, has
+ *     failed
+ * @param maxDescriptors file descriptors that this process may have open
+ * @param cachedList the list of backends that this proxy last received; empty if there is none
+ * @param console address of the operators' console, or null if there is none
+ * @param stateDirectory directory for the files that the processes of this proxy share, or null if there is
+ *     none
  */
 record ProxyConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
         Settings settings, List<String> classes, List<String> tenants, List<String> zones,
@@ -35,9 +42,10 @@
         InetSocketAddress console, Path stateDirectory) {
 
     private static final long DEFAULT_CONNECT_TIMEOUT_US = 250_000;
+    /** Descriptors that a process may have open if the file does not say. */
     private static final int DEFAULT_SOCKETS = 1024;
 
-    /** The configuration cannot be used; the message is one plain line. */
+    /** The configuration is missing, unreadable or invalid; the message is one line. */
     static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -47,8 +55,11 @@
     }
 
     /**
-     * Reads the file that the environment names once more and gives what the process follows without a
-     * restart: the address of discovery, or null where the file names none. The rest is only checked.
+     * Reads the configuration again and returns the one value that can change without a restart, the address
+     * of discovery. Everything else is only validated.
+     *
+     * @return the address of discovery in the file, or null if the file has none
+     * @throws InvalidConfigException if any part of the configuration is invalid
      */
     static InetSocketAddress rereadDiscovery(Map<String, String> env) throws InvalidConfigException {
         read(env);
@@ -56,7 +67,11 @@
         return discovery == null ? null : address("config: discovery", String.valueOf(discovery));
     }
 
-    /** Reads the environment and the file it names. */
+    /**
+     * Reads the environment and the file that it names.
+     *
+     * @throws InvalidConfigException if either is incomplete or invalid
+     */
     static ProxyConfig read(Map<String, String> env) throws InvalidConfigException {
         String name = requiredVariable(env, "PROXY_NAME");
         InetSocketAddress listen = address("PROXY_LISTEN", requiredVariable(env, "PROXY_LISTEN"));
@@ -113,7 +128,7 @@
         }
     }
 
-    /** The variable comes before the file, as with the other addresses. */
+    /** The console's address; the environment variable overrides the file. */
     private static InetSocketAddress console(Map<String, String> env, Map<String, Object> file)
             throws InvalidConfigException {
         String variable = env.get("PROXY_CONSOLE");
@@ -124,7 +139,11 @@
         return fileValue == null ? null : address("config: console", String.valueOf(fileValue));
     }
 
-    /** The address of a text like 10.0.0.4:5000; names are not looked up, as there is no DNS. */
+    /**
+     * Parses an IP address and a port such as 10.0.0.4:5000. Host names are not resolved, as there is no DNS.
+     *
+     * @throws IllegalArgumentException if the text is anything else
+     */
     static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
@@ -164,7 +183,7 @@
         }
     }
 
-    /** The seed is sixteen hex digits, or a number. */
+    /** Parses the seed: a string of sixteen hexadecimal digits, or a number. */
     private static long parseSeed(Object seed) throws InvalidConfigException {
         try {
             return seed instanceof Number number ? number.longValue()
@@ -188,7 +207,10 @@
                 : List.of();
     }
 
-    /** What is told apart by name must have one of its own: a path or a header is held against it. */
+    /**
+     * The names of a list of objects. Each must be present and unique, because request paths and headers
+     * select request classes and tenants by name.
+     */
     private static List<String> uniqueNames(Map<String, Object> parent, String key)
             throws InvalidConfigException {
         List<String> names = new ArrayList<>();
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -23,23 +23,36 @@
 import passhatch.Balancer.Settings;
 import passhatch.LeastLoadedBalancer;
 
-/** One real proxy, from its start to its end. */
+/**
+ * One proxy on real sockets: creates its components, reloads its configuration and shuts it down. Apart from
+ * starting, reloading and waiting for the end, everything runs on one event loop.
+ */
 public final class ProxyServer {
 
+    /** How often stale and stalled backend connections are closed. */
     private static final long POOL_SWEEP_INTERVAL_MS = 250;
+    /** How often a shutdown checks whether connections still need this process. */
     private static final long DRAIN_CHECK_INTERVAL_MS = 10;
     /**
-     * Descriptors for the JVM's own files, the selector, the listener, discovery, and connections that are
-     * closed but not yet let go of by the selector.
+     * File descriptors reserved for the JVM's own files, the selector, the listener, discovery, and
+     * connections that are closed but still registered with the selector.
      */
     private static final int RESERVED_DESCRIPTORS = 40;
-    /** Part of the rest for callers; they have more connections open than requests. */
+    /**
+     * Fraction of the remaining descriptors that clients get; the backends get the rest. Clients have more
+     * connections open than requests.
+     */
     private static final double CLIENT_DESCRIPTOR_FRACTION = 0.55;
-    /** Part of the heap that bodies of requests may hold. */
+    /** Request bodies may occupy the maximum heap size divided by this. */
     private static final int BODY_BUDGET_HEAP_DIVISOR = 6;
 
-    /** Makes the decision module. */
+    /** Creates the decision module. */
     interface ModuleFactory {
+        /**
+         * Creates a module that acts on the network through the given actions.
+         *
+         * @throws IllegalArgumentException if the settings are invalid
+         */
         Balancer create(Settings settings, long seed, Actions actions);
     }
 
@@ -55,13 +68,13 @@
     private BackendPool backendPool;
     private Handover handover;
     private int reservedDescriptors;
-    /** The process is about to be killed. */
+    /** Whether every pending request has been given its final response because SIGKILL is about to come. */
     private boolean finalResponsesSent;
-    /** All is answered but for what may still come on open connections. */
+    /** Whether the log says that the shutdown waits for the last connections; it is said once. */
     private boolean drainWaitLogged;
-    /** Whether that is over is seen in a moment. */
+    /** Whether the next check for remaining connections is already scheduled. */
     private boolean drainCheckScheduled;
-    /** What the process ends with. */
+    /** Exit status of the process. */
     private volatile int exitStatus;
     private volatile InetSocketAddress address;
     private InetSocketAddress consoleAddress;
@@ -75,13 +88,20 @@
                 .mapToLong(RequestClass::deadlineUs).max().orElseThrow());
     }
 
-    /** Runs a proxy until the process gets SIGTERM; returns only where it cannot start, with the status. */
+    /**
+     * Runs a proxy until the process receives SIGTERM. A proxy that starts ends the JVM itself, so this
+     * returns only if the proxy cannot start or cannot listen later.
+     *
+     * @param env the environment, with the {@code PROXY_} variables
+     * @param err receives the log and the reason for a failed start
+     * @return the exit status
+     */
     public static int serve(Map<String, String> env, PrintStream err) throws InterruptedException {
-        // First of all: until then SIGHUP ends the process. One that comes before the start is over is
-        // followed as soon as it is.
+        // Installed before anything else, because SIGHUP ends a process without a handler. A signal that
+        // arrives during the start takes effect once the start has completed.
         CompletableFuture<ProxyServer> started = new CompletableFuture<>();
         if (!HangUpSignal.onEach(() -> started.thenAccept(s -> s.reload(env)))) {
-            err.println("passhatch: SIGHUP cannot be handled here: it is ignored, or ends the process");
+            err.println("passhatch: SIGHUP cannot be handled: it is ignored or ends the process");
         }
         NettyDefaults.apply();
         ProxyServer server;
@@ -95,8 +115,8 @@
         }
         started.complete(server);
         CountDownLatch terminated = server.terminated;
-        // The JVM ends as soon as its hooks have returned, with the status of the signal: so this hook stays
-        // until all is answered, and then ends the process itself.
+        // The JVM exits with the signal's status as soon as its shutdown hooks return. So this hook waits
+        // until all requests are answered and then halts the process with the proxy's own status.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             server.shutDown();
             try {
@@ -110,13 +130,25 @@
         return server.exitStatus;
     }
 
-    /** Starts a proxy and returns once it listens. */
+    /**
+     * Starts a proxy on the system clock.
+     *
+     * @see #start(ProxyConfig, EventLog, ModuleFactory, Clock)
+     */
     static ProxyServer start(ProxyConfig config, EventLog log, ModuleFactory moduleFactory)
             throws ProxyConfig.InvalidConfigException, InterruptedException, ExecutionException {
         return start(config, log, moduleFactory, new Clock());
     }
 
-    /** Starts one that goes by the clock. */
+    /**
+     * Starts a proxy on the given clock and returns once it listens. If another process of the same proxy is
+     * running, only the console listens at first: clients are accepted once a list of backends has been
+     * received.
+     *
+     * @throws ProxyConfig.InvalidConfigException if the settings are invalid or an address cannot be
+     *     listened on
+     * @throws ExecutionException if checking for another process fails because of an error in this program
+     */
     static ProxyServer start(ProxyConfig config, EventLog log, ModuleFactory moduleFactory, Clock clock)
             throws ProxyConfig.InvalidConfigException, InterruptedException, ExecutionException {
         ProxyServer server = new ProxyServer(config, log);
@@ -149,7 +181,10 @@
         return server;
     }
 
-    /** Takes clients, beside another process if there is one, which until now had them all. */
+    /**
+     * Accepts clients, now that a list of backends has been received, and announces that to the other
+     * process of this proxy, if there is one. That process received all clients until now.
+     */
     private void startServing(InetSocketAddress listenAddress) {
         if (clientServer.isListening()) {
             handover.setServing(true);
@@ -158,7 +193,7 @@
         clientServer.listen(listenAddress, true).addListener((ChannelFuture listening) -> {
             if (listening.isSuccess()) {
                 address = (InetSocketAddress) listening.channel().localAddress();
-                log.line("handover: this process serves beside the one before it");
+                log.line("handover: this process now accepts clients beside the earlier one");
                 handover.setServing(true);
             } else {
                 log.line("PROXY_LISTEN: " + listening.cause().getMessage());
@@ -201,7 +236,10 @@
         return sharedDescriptors(descriptors) - clientDescriptors(descriptors);
     }
 
-    /** Follows what staff set, on whichever process's console, and makes room for another process. */
+    /**
+     * Applies the state that operators set on the console of any process of this proxy, and halves this
+     * process's connection limits while another process shares the machine.
+     */
     private final class SharedStateListener implements Handover.Listener {
         private final int descriptors;
         private SharedState current = SharedState.INITIAL;
@@ -219,7 +257,8 @@
             previous.disabledBackends().stream().filter(id -> !state.disabledBackends().contains(id))
                     .forEach(id -> proxy.setDisabled(id, false));
             if (state.outOfService() != previous.outOfService()) {
-                log.line(state.outOfService() ? "out of service by hand" : "in service by hand");
+                log.line(state.outOfService() ? "taken out of service by an operator"
+                        : "returned to service by an operator");
                 if (state.outOfService()) {
                     drainState.takeOutOfService();
                 } else {
@@ -236,7 +275,7 @@
         }
     }
 
-    /** What the console has done. */
+    /** Carries out the operations of the console. */
     private final class ConsoleOperations implements ConsoleRoutes.Operations {
         @Override
         public boolean isReady() {
@@ -269,20 +308,21 @@
     }
 
     /**
-     * Reads the configuration again and follows it; one that cannot be used changes nothing. One at a time,
-     * so that what was read last holds.
+     * Reads the configuration again and applies the address of discovery. A configuration that is invalid or
+     * cannot be read is logged and changes nothing. Reloads run one at a time, so that the configuration
+     * that was read last takes effect.
      */
     synchronized void reload(Map<String, String> env) {
         InetSocketAddress discovery;
         String message;
         try {
             discovery = ProxyConfig.rereadDiscovery(env);
-            message = "configuration read again: discovery is "
-                    + (discovery == null ? "as before" : discovery);
+            message = "configuration reloaded: discovery address is "
+                    + (discovery == null ? "unchanged" : discovery);
         } catch (ProxyConfig.InvalidConfigException | RuntimeException e) {
-            // Whatever the file holds, the signal's thread must not end over it with nothing said.
+            // No content of the file may end the signal thread without a log line.
             discovery = null;
-            message = "configuration not taken over, the one before stays: " + e.getMessage();
+            message = "configuration not reloaded, the previous one stays in effect: " + e.getMessage();
         }
         InetSocketAddress newDiscovery = discovery;
         String logLine = message;
@@ -294,21 +334,23 @@
                 }
             });
         } catch (RejectedExecutionException loopStopped) {
-            // The process is about to end: there is nothing left that could follow.
+            // The event loop has stopped because the process is ending; there is nothing to reconfigure.
         }
     }
 
+    /** The address clients connect to, or null if this process has not listened for clients yet. */
     InetSocketAddress address() {
         return address;
     }
 
+    /** The address of the console, or null if there is none. */
     InetSocketAddress consoleAddress() {
         return consoleAddress;
     }
 
     /**
-     * Ends in an orderly way: connections are accepted for a little longer, and everything
-     * taken is answered.
+     * Shuts down gracefully, at the times of {@link ShutdownSchedule}: connections are accepted for a short
+     * time longer, and every request that was accepted is answered.
      */
     void shutDown() {
         loop.execute(() -> {
@@ -317,7 +359,7 @@
             boolean hasSuccessor = handover != null && handover.hasSuccessor();
             ShutdownSchedule schedule = ShutdownSchedule.of(longestDeadlineMs, hasSuccessor);
             if (hasSuccessor) {
-                log.line("handover: another process serves; what it can take is left to it");
+                log.line("handover: another process serves; new clients are left to it");
                 handover.setServing(false);
                 drainState.closeAfterResponses();
             }
@@ -336,9 +378,10 @@
     }
 
     /**
-     * Ends once nothing is open: the network has taken all answers, where a slow client may take its time
-     * over a long one, no client has only just connected, and no request is half in. At the last, one that is
-     * half in is not waited for.
+     * Terminates once no connection needs this process any more: all responses have been handed to the
+     * network, which can take a slow client some time with a long response, no client has only just
+     * connected, and no request is partly received. Once the final responses have been sent, partly received
+     * requests are no longer waited for.
      */
     private void terminateOnceDrained() {
         if (drainCheckScheduled) {
@@ -361,22 +404,27 @@
         }
     }
 
-    /** Takes no more connections, as at the end. */
+    /** Stops accepting client connections, as a shutdown does. */
     void stopListening() {
         clientServer.stopListening();
     }
 
-    /** Does something in a later step of the loop, which stands still meanwhile. */
+    /** Runs a task on the event loop, which does nothing else while the task runs. */
     Future<?> submitToLoop(Callable<?> task) {
         return loop.submit(task);
     }
 
-    /** Waits until it has shut down. */
+    /**
+     * Waits until the proxy has terminated.
+     *
+     * @param timeoutMs longest time to wait, in milliseconds
+     * @return false if the proxy has not terminated within that time
+     */
     boolean awaitTermination(long timeoutMs) throws InterruptedException {
         return terminated.await(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends at once, whatever is out. */
+    /** Terminates without waiting for requests that are in flight. */
     void terminateNow() {
         loop.execute(this::terminate);
     }
--- a/src/main/java/passhatch/proxy/Rehearsal.java
+++ b/src/main/java/passhatch/proxy/Rehearsal.java
@@ -19,16 +19,19 @@
 import passhatch.LeastLoadedBalancer;
 
 /**
- * A short life of a proxy, played on loopback when the program is built: the JVM notes the classes that it
- * loads and archives them for the real starts. A proxy has a part of a core, and loading, checking and
+ * A short run of a proxy on loopback when the program is built. The JVM records the classes that it loads
+ * and archives them for production starts. A proxy has a fraction of a core, and loading, verifying and
  * linking some thousand classes from the jar would keep its backend waiting for seconds.
  */
 public final class Rehearsal {
 
+    /** Longest time for each response and for the shutdown. */
     private static final int TIMEOUT_MS = 10_000;
-    /** Requests passed on: enough to use a kept connection too. */
+    /** Number of small requests to the backend, enough to use a keep-alive connection too. */
     private static final int REQUEST_COUNT = 3;
-    /** A body, and an answer, of a size that is passed on as it comes. */
+    /**
+     * Size of a request body and a response body that are large enough to be streamed rather than buffered.
+     */
     private static final int LARGE_BODY_BYTES = 200_000;
     private static final List<String> CONSOLE_REQUESTS = List.of("POST /control/backends/s/offline",
             "POST /control/backends/s/online", "POST /control/out-of-service", "POST /control/in-service",
@@ -46,12 +49,18 @@
 
     private Rehearsal() { }
 
-    /** Plays it; what cannot be played is said and costs only the archive. */
+    /**
+     * Runs the proxy, sends it requests and shuts it down. A failure is reported on {@code err}; its only
+     * effect is that no archive is made and proxies start slowly.
+     *
+     * @return the exit status, 0 if all requests succeeded
+     */
     public static int run(PrintStream err) throws InterruptedException {
         NettyDefaults.apply();
         HangUpSignal.onEach(() -> { });
         try (ServerSocket stubListener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            // Not one of the JDK's making: that would set up what a start must do without.
+            // Not Files.createTempDirectory, which would initialize parts of the JDK that a start does not
+            // use.
             Path directory = Files.createDirectory(Path.of(System.getProperty("java.io.tmpdir"),
                     "rehearsal-" + ProcessHandle.current().pid() + '-' + System.nanoTime()));
             Path config = directory.resolve("config.json");
@@ -63,7 +72,7 @@
                         """.formatted(stubAddress);
                 Files.writeString(config, "{\"seed\":\"1\",\"limits\":{\"sockets\":256},\"known\":"
                         + endpointList + ",\"settings\":" + SETTINGS + "}");
-                Thread stubThread = new Thread(() -> serveStub(stubListener, endpointList), "others");
+                Thread stubThread = new Thread(() -> serveStub(stubListener, endpointList), "stub");
                 stubThread.setDaemon(true);
                 stubThread.start();
                 ProxyServer proxy = ProxyServer.start(ProxyConfig.read(Map.of("PROXY_NAME", "n",
@@ -102,17 +111,17 @@
             String statusLine = new BufferedReader(new InputStreamReader(client.getInputStream(),
                     StandardCharsets.US_ASCII)).readLine();
             if (statusLine == null || !statusLine.contains(" 200 ")) {
-                throw new IOException("a request was answered with " + statusLine);
+                throw new IOException("unexpected response to a request: " + statusLine);
             }
         }
     }
 
-    /** Stands in for discovery and for a backend: each connection has a thread, and all end with the JVM. */
+    /** Stub for discovery and the backend. Each connection has a thread, and all threads end with the JVM. */
     private static void serveStub(ServerSocket listener, String endpointList) {
         while (true) {
             try {
                 Socket connection = listener.accept();
-                Thread thread = new Thread(() -> respond(connection, endpointList), "peer");
+                Thread thread = new Thread(() -> respond(connection, endpointList), "stub connection");
                 thread.setDaemon(true);
                 thread.start();
             } catch (IOException closed) {
@@ -144,7 +153,7 @@
                 connection.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException ended) {
-            // The proxy has closed the connection; there is nothing left to answer.
+            // The proxy has closed the connection, so there are no more requests to answer.
         }
     }
 }
--- a/src/main/java/passhatch/proxy/SharedListener.java
+++ b/src/main/java/passhatch/proxy/SharedListener.java
@@ -7,19 +7,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A listener, whose address another process may listen on too. What stands in its accept queue when it is
- * closed would be reset, so it is emptied and closed in one step.
+ * A listening socket whose address another process may also listen on. Closing it resets the connections in
+ * its accept queue, so it accepts all of these and closes the socket in one step.
  */
 final class SharedListener extends NioServerSocketChannel {
 
-    /** Calls to accept that may fail while the queue is emptied. */
+    /** Number of failed accept calls after which draining the accept queue is given up. */
     private static final int MAX_ACCEPT_FAILURES = 1_000;
 
-    /** Stops listening, after taking all that has connected here. */
+    /** Stops listening after accepting every connection that clients have already made. */
     void drainAndClose() {
         config().setAutoRead(false);
-        // While it is registered with the selector, a closed listener goes on queueing connections until the
-        // next select.
+        // A listener that is closed while it is registered with the selector continues to queue connections
+        // until the next select call.
         deregister().addListener(done -> drainOnceDeregistered());
     }
 
@@ -43,7 +43,10 @@
         close();
     }
 
-    /** A call to accept that fails tells nothing of the connections that wait: what is left is reset. */
+    /**
+     * Accepts connections until the queue is empty. A failed accept call does not mean that it is empty, and
+     * what stays in it is reset, so accepting continues after a failure.
+     */
     private void acceptAll(List<Object> accepted) throws Exception {
         int failures = 0;
         int acceptedNow = 1;
--- a/src/main/java/passhatch/proxy/StateDirectory.java
+++ b/src/main/java/passhatch/proxy/StateDirectory.java
@@ -19,38 +19,48 @@
 import java.util.SplittableRandom;
 
 /**
- * The files by which the processes of one proxy know of each other: what staff set, and for each process a
- * sign of life. Every file is written whole beside its place and renamed into it. A sign of life is locked
- * by its process, and the kernel lets go of the lock with the process, however that ends.
+ * The files that the processes of one proxy share: the state that operators set and, for each process, a
+ * status file and a liveness file. State and status are written to a temporary file that is then renamed, so
+ * no reader sees a part of one. A process keeps its liveness file locked, and the kernel releases the lock
+ * when the process ends, however it ends.
  */
 final class StateDirectory implements AutoCloseable {
 
     private static final String LIVENESS_SUFFIX = ".life";
 
     /**
-     * A process that serves under this proxy's name, as it last showed itself.
+     * Another process of this proxy, with the status that it last published.
      *
-     * @param startedMs when it started, in Unix time
-     * @param serving whether it takes clients
-     * @param appliedVersion the version of what staff set that it goes by
+     * @param id unique for each process
+     * @param startedMs when it started, as a Unix time in milliseconds
+     * @param serving whether it accepts clients
+     * @param appliedVersion the version of the shared state that it applies; {@code follows} in the file
      */
     record Peer(String id, long startedMs, boolean serving, long appliedVersion) { }
 
     private final Path directory;
     private final String prefix;
     private final long startedMs = System.currentTimeMillis();
-    /** Unlike any other's. A UUID would set up the JDK's security providers first, while clients wait. */
+    /**
+     * Unique for each process. A random UUID would initialize the JDK's security providers, which takes time
+     * while clients wait for the start.
+     */
     private final String id = Long.toHexString(startedMs) + '-'
             + Long.toHexString(new SplittableRandom().nextLong());
     private final FileChannel livenessChannel;
 
-    /** Shows that this process lives; it does not serve yet. */
+    /**
+     * Creates the files of this process, which does not accept clients yet.
+     *
+     * @throws IOException if the directory cannot be written to
+     */
     StateDirectory(Path directory, String proxyName) throws IOException {
         this.directory = directory;
-        // With no hyphen in it, the files of n1-b are not among those that begin with n1.
+        // Hyphens in the name are encoded, so that the files of a proxy n1-b do not match the prefix of n1.
         String encodedName = URLEncoder.encode(proxyName, StandardCharsets.UTF_8).replace("-", "%2D");
         this.prefix = "passhatch-" + encodedName + "-";
-        // Locked before it gets its name: one that is not locked passes for that of a dead process.
+        // Locked before it is renamed, because a liveness file without a lock counts as that of a dead
+        // process.
         Path temporary = directory.resolve(prefix + id + ".new");
         this.livenessChannel = FileChannel
                 .open(temporary, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
@@ -69,14 +79,18 @@
         Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Tells the other processes about this one. */
+    /**
+     * Publishes the status of this process to the others.
+     *
+     * @param appliedVersion the version of the shared state that it applies
+     */
     void publishStatus(boolean serving, long appliedVersion) throws IOException {
         writeAtomically(file(id + ".json"),
                 JSON.std.asString(Map.of("startedMs", startedMs, "serving", serving,
                 "follows", appliedVersion)));
     }
 
-    /** What staff set, in writing; null where nothing was written yet. */
+    /** The stored state as JSON, or null if none has been stored yet. */
     String readState() throws IOException {
         try {
             return Files.readString(file("state.json"));
@@ -85,11 +99,16 @@
         }
     }
 
+    /** Stores the state; the caller holds the lock unless it restores the state that is in effect. */
     void writeState(SharedState state) throws IOException {
         writeAtomically(file("state.json"), state.toJson());
     }
 
-    /** The right to change what is set, one process at a time; null while another has it. */
+    /**
+     * Takes the lock that one process at a time needs for changing the state.
+     *
+     * @return closing this releases the lock; null if another process holds it
+     */
     AutoCloseable tryLock() throws IOException {
         FileChannel channel = FileChannel.open(file("state.lock"), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
@@ -97,7 +116,7 @@
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException held) {
-            // By this very process, which tests make of two proxies.
+            // Held by this JVM, which happens in tests that run two proxies in one process.
         }
         if (lock == null) {
             channel.close();
@@ -106,7 +125,7 @@
         return channel;
     }
 
-    /** The other processes that live. */
+    /** The other processes that are running. Deletes the files of processes that are not. */
     List<Peer> peers() throws IOException {
         List<Peer> peers = new ArrayList<>();
         try (DirectoryStream<Path> files =
@@ -114,7 +133,8 @@
             for (Path livenessFile : files) {
                 String name = livenessFile.getFileName().toString();
                 String peerId = name.substring(prefix.length(), name.length() - LIVENESS_SUFFIX.length());
-                // A process's own sign must not be opened again: closing that would let go of the lock.
+                // This process must not open its own liveness file again, as closing that would release the
+                // lock.
                 if (!peerId.equals(id) && isLockedOrDelete(livenessFile)) {
                     peers.add(readPeer(peerId));
                 }
@@ -140,7 +160,7 @@
         return false;
     }
 
-    /** What another process shows; where that cannot be read it lives all the same. */
+    /** Reads the status of another process; one whose status cannot be read still counts as running. */
     private Peer readPeer(String peerId) {
         try {
             Map<String, Object> fields = JSON.std.mapFrom(Files.readString(file(peerId + ".json")));
@@ -150,17 +170,17 @@
                 return new Peer(peerId, peerStartedMs.longValue(), serving, appliedVersion.longValue());
             }
         } catch (IOException unreadable) {
-            // As below.
+            // Treated like a status with missing fields.
         }
         return new Peer(peerId, 0, false, 0);
     }
 
-    /** Whether the other process started after this one. */
+    /** Whether the other process started after this one; the ids decide between equal start times. */
     boolean startedAfterThis(Peer peer) {
         return peer.startedMs() != startedMs ? peer.startedMs() > startedMs : peer.id().compareTo(id) > 0;
     }
 
-    /** Takes the signs of this process away. */
+    /** Deletes the files of this process and releases its lock. */
     @Override
     public void close() throws IOException {
         Files.deleteIfExists(file(id + LIVENESS_SUFFIX));
--- a/src/main/java/passhatch/proxy/package-info.java
+++ b/src/main/java/passhatch/proxy/package-info.java
@@ -1,2 +1,2 @@
-/** The real proxy: the decision module on sockets. One event-loop thread owns everything in here. */
+/** The HTTP proxy, which runs the decision module on sockets. One event-loop thread owns its state. */
 package passhatch.proxy;
--- a/src/test/java/passhatch/proxy/ConsoleTest.java
+++ b/src/test/java/passhatch/proxy/ConsoleTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import passhatch.proxy.HttpTestConnection.Message;
 
-/** The operators' address, over loopback sockets. */
+/** The console for operators, over loopback sockets. */
 @Timeout(60)
 final class ConsoleTest {
 
@@ -51,7 +51,7 @@
         try (HttpTestConnection caller = HttpTestConnection.connect(rig.proxy().consoleAddress())) {
             caller.write(methodAndPath + " HTTP/1.1\r\nHost: c\r\n\r\n");
             Message response = caller.read();
-            assertNull(caller.read(), "one call to a connection");
+            assertNull(caller.read(), "the connection is closed after one request");
             return response;
         }
     }
@@ -68,7 +68,10 @@
         return metrics;
     }
 
-    /** The names that the page for operators has, with each class of the rig for {@code .C}. */
+    /**
+     * The metric names in the operators' documentation; a name that ends in {@code .C} stands for one name
+     * for each request class of the test configuration.
+     */
     private static List<String> documentedMetrics() throws IOException {
         return Files.readAllLines(Path.of("docs/figures.md")).stream().filter(line -> line.startsWith("| `"))
                 .flatMap(line -> Pattern.compile("`([^`]+)`").matcher(line.split("\\|")[1]).results())
@@ -78,7 +81,7 @@
                 .toList();
     }
 
-    /** Waits until a figure has a value. */
+    /** Waits until a metric has the value. */
     private void awaitMetric(String name, int value) throws Exception {
         long deadlineNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         while (counters().get(name) != value) {
@@ -87,6 +90,7 @@
         }
     }
 
+    /** Whether {@code /ready} on the address for clients says that the proxy accepts clients. */
     private boolean isReadyForClients() throws IOException {
         int status = rig.call("GET /ready HTTP/1.1\r\nHost: p\r\n\r\n").status();
         assertTrue(status == 200 || status == 503, "ready: " + status);
@@ -146,7 +150,10 @@
         }
     }
 
-    /** More callers hold connections than there is room for, with nothing said or half a head. */
+    /**
+     * Guards against clients that open more connections than allowed and send nothing or half a request
+     * head.
+     */
     @Test
     void idleConnectionsDoNotBlockRequests() throws Exception {
         rig.start();
@@ -159,7 +166,7 @@
                     try {
                         idleConnection.write("GET /control/re");
                     } catch (SocketException alreadyEvicted) {
-                        // As it should be, where others came after it.
+                        // Expected once later connections have taken its place.
                     }
                 }
                 assertEquals(200, consoleStatus("GET /control/ready"));
@@ -221,7 +228,10 @@
         awaitMetric("concurrent", 0);
     }
 
-    /** Discovery goes on naming it, anew, at another address and with another start. */
+    /**
+     * Guards against a backend that is enabled again without an operator because discovery deletes it and
+     * then lists it again as a new one, at another address and with another start time.
+     */
     @Test
     void disabledBackendGetsNoRequestsWhateverDiscoverySays() throws Exception {
         ScriptedServer a = ScriptedServer.saying("a");
@@ -246,7 +256,7 @@
     private void awaitServedBy(String text) throws Exception {
         long deadlineNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
         for (int i = 0; !rig.call(Rig.get(text + i, "")).text().equals(text); i++) {
-            assertTrue(System.nanoTime() < deadlineNs, "nothing went to " + text);
+            assertTrue(System.nanoTime() < deadlineNs, "no request was answered with " + text);
         }
     }
 
@@ -270,12 +280,12 @@
         assertEquals(200, consoleStatus("POST /control/out-of-service"));
         assertFalse(isReadyForClients());
         assertEquals(200, consoleStatus("POST /control/out-of-service"));
-        assertEquals(200, consoleStatus("GET /control/ready"), "it can serve");
-        assertNull(kept.read(), "idle: closed in time");
-        assertNull(unused.read(), "never used: closed in time");
+        assertEquals(200, consoleStatus("GET /control/ready"), "out of service, but able to serve");
+        assertNull(kept.read(), "an idle connection is closed");
+        assertNull(unused.read(), "a connection without any request is closed");
         HttpTestConnection late = rig.client();
         late.write(Rig.get("late", ""));
-        assertEquals("close", late.read().header("Connection"), "what still comes is served");
+        assertEquals("close", late.read().header("Connection"), "a request on a new connection is served");
         release.countDown();
         Message last = pending.read();
         assertEquals(200, last.status());
@@ -285,7 +295,10 @@
         assertNull(rig.call(Rig.get("again", "")).header("Connection"));
     }
 
-    /** What has come so far ends with a line, so the decoder keeps none of its bytes. */
+    /**
+     * Guards against a drain that takes a connection for idle after part of a request has arrived. This part
+     * ends at the end of a line, so the decoder buffers none of its bytes.
+     */
     @Test
     void drainWaitsForPartlyReceivedRequest() throws Exception {
         ScriptedServer backend = ScriptedServer.saying("ok");
@@ -300,7 +313,7 @@
         String request = Rig.get("slow", "");
         int firstLineLength = request.indexOf("\r\n") + 2;
         kept.write(request.substring(0, firstLineLength));
-        assertNull(idle.read(), "what is idle is closed");
+        assertNull(idle.read(), "the idle connection is closed");
         kept.write(request.substring(firstLineLength));
         assertEquals("ok", kept.read().text());
     }
--- a/src/test/java/passhatch/proxy/DescriptorsTest.java
+++ b/src/test/java/passhatch/proxy/DescriptorsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is kept back of the descriptors that a process may hold; the system holds it to them here. */
+/** File descriptors that are reserved for other uses than clients, under a limit that the system enforces. */
 @Timeout(60)
 final class DescriptorsTest {
 
@@ -26,8 +26,9 @@
     Path folder;
 
     /**
-     * Discovery is down while idle clients hold all that clients may. At its return the watch is opened, and
-     * backends that were not known before are reached, many at once.
+     * Guards against clients using up all descriptors. Discovery is down while idle clients hold as many
+     * connections as clients may have. Once it is up again, the proxy must be able to watch it and to
+     * connect to many new backends at once.
      */
     @Test
     void discoveryAndBackendsAreReachedAtTheClientConnectionLimit() throws Exception {
--- a/src/test/java/passhatch/proxy/GracefulShutdownTest.java
+++ b/src/test/java/passhatch/proxy/GracefulShutdownTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is still owed when a process ends. */
+/** Graceful shutdown of a proxy that still has connections and requests. */
 @Timeout(60)
 final class GracefulShutdownTest {
 
     @TempDir
     Path folder;
 
-    /** Whatever the deadlines: clients are sent away, and all is answered, before SIGKILL may come. */
+    /** With any deadline, connections are closed and requests are answered before SIGKILL can come. */
     @ParameterizedTest
     @ValueSource(longs = {200, 400, 800, 1_500, 2_000, 3_000, 10_000})
     void scheduleEndsBeforeSigkill(long longestDeadlineMs) {
@@ -36,11 +36,15 @@
                     schedule.toString());
             assertTrue(schedule.respondToAllAfterMs() <= killMs - 300, schedule.toString());
             assertTrue(hasSuccessor || schedule.stopListeningAfterMs() > 400,
-                    "new connections come until then");
+                    "new connections arrive for up to 400 ms");
         }
     }
 
-    /** The loop stands still while they connect and ask, and then stops listening before it accepts them. */
+    /**
+     * Guards against resetting connections that the proxy has not accepted when it stops listening. The
+     * event loop is blocked while the clients connect and send requests, and then stops listening before it
+     * accepts them.
+     */
     @Test
     void connectionsInTheAcceptQueueAreServed() throws Exception {
         try (Rig rig = new Rig(folder)) {
@@ -62,7 +66,9 @@
         }
     }
 
-    /** Idle connections are closed and nothing else is open; what is half in still gets its answer. */
+    /**
+     * While idle connections are closed, a request of which only a part has arrived still gets its response.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"GET", "GET /board/7 HTTP/1.1\r\nHost: p\r\nX-Request-Id: h"})
     void partlyReceivedRequestIsWaitedFor(String firstPart) throws Exception {
@@ -79,7 +85,7 @@
             rig.proxy().shutDown();
             rig.awaitLog("shutting down");
             partial.write(firstPart);
-            assertNull(idle.read(), "idle ones are closed");
+            assertNull(idle.read(), "the idle connection is closed");
             partial.write(request.substring(firstPart.length()));
             HttpTestConnection.Message response = partial.read();
             assertEquals(200, response.status());
@@ -89,7 +95,10 @@
         }
     }
 
-    /** Its answer has begun and hangs, or drips on; by the kill its client has to know of it. */
+    /**
+     * A response that has begun and then stalls, or continues very slowly, must be aborted before SIGKILL so
+     * that its client notices.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void stalledResponseIsAborted(boolean sendsSlowly) throws Exception {
@@ -104,9 +113,9 @@
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
             HttpTestConnection client = rig.client();
             client.write(Rig.get("r", ""));
-            assertEquals("HTTP/1.1 200 OK", client.readLine(), "it is passed on");
+            assertEquals("HTTP/1.1 200 OK", client.readLine(), "the response is streamed");
             rig.proxy().shutDown();
-            // The deadline of 10 s would end it too, and the kill comes at 3.7 s.
+            // The request's deadline of 10 s would end the response too; SIGKILL comes after 3.7 s.
             long latestEndNs = System.nanoTime() + 9_000_000_000L;
             String rest = new String(client.input().readAllBytes(), StandardCharsets.US_ASCII);
             assertTrue(System.nanoTime() < latestEndNs);
@@ -117,7 +126,10 @@
         }
     }
 
-    /** It changes nothing, and neither does one that comes while staff have drained the proxy. */
+    /**
+     * A second SIGTERM does not affect the shutdown: requests are still served. Neither does taking the
+     * proxy out of service first affect it.
+     */
     @Test
     void aSecondSigtermChangesNothing() throws Exception {
         try (Rig rig = new Rig(folder)) {
--- a/src/test/java/passhatch/proxy/HandoverTest.java
+++ b/src/test/java/passhatch/proxy/HandoverTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What two processes of one proxy know of each other by their files; here both stand in one. */
+/** State that two processes of one proxy share through files; here both run in one JVM. */
 @Timeout(60)
 final class HandoverTest {
 
@@ -41,7 +41,7 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    /** One process, as far as this part of it goes. */
+    /** Stands for one process: its event loop, and the state and notifications that it receives. */
     private final class ProxyStub implements Handover.Listener {
         final EventLoop loop = group.next();
         final BlockingQueue<SharedState> states = new LinkedBlockingQueue<>();
@@ -98,7 +98,7 @@
         second.close();
     }
 
-    /** The yes comes no sooner than the other one follows. */
+    /** Guards against confirming a change to an operator before the other process has applied it. */
     @Test
     void changeIsAppliedByThePeerBeforeItIsConfirmed() throws Exception {
         ProxyStub first = new ProxyStub(folder);
@@ -116,13 +116,13 @@
     void aSuccessorIsOneThatStartedLaterAndServes() throws Exception {
         ProxyStub first = new ProxyStub(folder);
         assertFalse(first.hasSuccessor());
-        // Starts are told apart by the millisecond.
+        // Start times are compared in milliseconds, so the second process must start in a later millisecond.
         long startedMs = System.currentTimeMillis();
         while (System.currentTimeMillis() <= startedMs) {
             Thread.onSpinWait();
         }
         ProxyStub second = new ProxyStub(folder);
-        assertFalse(first.hasSuccessor(), "it does not serve yet");
+        assertFalse(first.hasSuccessor(), "the second process does not accept clients yet");
         second.loop.submit(() -> second.handover.setServing(true)).get();
         first.loop.submit(() -> first.handover.setServing(true)).get();
         assertTrue(first.hasSuccessor());
@@ -134,7 +134,7 @@
         first.close();
     }
 
-    /** A process that was killed leaves its sign, but not the lock on it. */
+    /** A killed process leaves its liveness file, but not the lock on it. */
     @Test
     void livenessFileOfADeadProcessIsDeleted() throws Exception {
         Path livenessFile = folder.resolve("passhatch-n%2F0-dead.life");
@@ -163,7 +163,10 @@
         }
     }
 
-    /** A file that is spoilt while a process lives takes nothing from it, nor from its successor. */
+    /**
+     * Guards against losing the state when its file is corrupted while a process is running: the process
+     * keeps its state and writes the file again for its successor.
+     */
     @Test
     void appliedStateReplacesACorruptFile() throws Exception {
         ProxyStub first = new ProxyStub(folder);
@@ -179,7 +182,7 @@
         second.close();
     }
 
-    /** A process may die at any point of writing; only what has its name counts. */
+    /** A process may be killed while it writes; a temporary file that was not renamed must not be read. */
     @Test
     void partlyWrittenFileIsNotRead() throws Exception {
         ProxyStub first = new ProxyStub(folder);
@@ -211,7 +214,7 @@
         }
     }
 
-    /** Also where one name begins like another. */
+    /** Includes names of which one is a prefix of the other. */
     @ParameterizedTest
     @ValueSource(strings = {"n1", "n", "n/0-b", "n/0-"})
     void proxiesOfOtherNamesAreNotPeers(String name) throws Exception {
@@ -219,7 +222,7 @@
         try (StateDirectory otherName = new StateDirectory(folder, name);
                 StateDirectory sameName = new StateDirectory(folder, "n/0")) {
             assertTrue(otherName.peers().isEmpty());
-            assertEquals(1, sameName.peers().size(), "its own fellow alone");
+            assertEquals(1, sameName.peers().size(), "only the process with the same name");
             assertTrue(proxy.setDisabled("a", true));
             assertNull(otherName.readState());
         }
--- a/src/test/java/passhatch/proxy/ProxyProcess.java
+++ b/src/test/java/passhatch/proxy/ProxyProcess.java
@@ -13,25 +13,26 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A proxy in a process of its own, for what only a process can be sent. */
+/** A proxy in its own process, for tests that need signals, a kill or a limit on descriptors. */
 final class ProxyProcess implements Closeable {
 
     final Process process;
     final InetSocketAddress address;
     private final BufferedReader log;
 
-    /** Starts it with the environment, on a free port, and waits until it is ready. */
+    /** Starts a proxy with the environment on a free port and waits until it is ready. */
     ProxyProcess(Map<String, String> environment) throws IOException, InterruptedException {
         this(environment, "");
     }
 
-    /** The same from a shell that has run something before. */
+    /** Starts a proxy on a free port from a shell that runs a command first, and waits until it is ready. */
     ProxyProcess(Map<String, String> environment, String shellPrefix)
             throws IOException, InterruptedException {
         this(environment, freeAddress(), shellPrefix);
         awaitReady();
     }
 
+    /** Waits until the proxy listens and is ready for clients. */
     void awaitReady() throws IOException, InterruptedException {
         while (!isListening()) {
             Thread.sleep(10);
@@ -39,12 +40,12 @@
         Rig.awaitReady(address);
     }
 
-    /** Starts it at an address that another may have, and waits for nothing. */
+    /** Starts a proxy on an address that another process may also use, without waiting for it. */
     ProxyProcess(Map<String, String> environment, InetSocketAddress address) throws IOException {
         this(environment, address, "");
     }
 
-    /** The same, with no more than so many descriptors. */
+    /** Starts a proxy that may have at most so many descriptors open, without waiting for it. */
     ProxyProcess(Map<String, String> environment, InetSocketAddress address, int maxDescriptors)
             throws IOException {
         this(environment, address, "ulimit -n " + maxDescriptors + "; ");
@@ -64,7 +65,7 @@
         log = process.errorReader(StandardCharsets.UTF_8);
     }
 
-    /** What the command that is used in service has before its java. */
+    /** The part of the production run command that comes before {@code java}. */
     private static String commandPrefix() throws IOException {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(l -> l.startsWith("run = ")).findFirst().orElseThrow();
@@ -77,6 +78,7 @@
         }
     }
 
+    /** Whether the proxy accepts connections. */
     boolean isListening() {
         try (HttpTestConnection connection = HttpTestConnection.connect(address)) {
             return connection.socket.isConnected();
@@ -85,6 +87,7 @@
         }
     }
 
+    /** Sends the process a signal, such as {@code TERM}. */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
     }
@@ -96,16 +99,17 @@
             if (log.ready()) {
                 line = log.readLine();
             } else if (!process.isAlive() || System.nanoTime() > deadlineNs) {
-                throw new AssertionError("no line '" + text + "'; the last: " + line);
+                throw new AssertionError("no log line with '" + text + "'; last line: " + line);
             } else {
                 Thread.sleep(5);
             }
         }
     }
 
+    /** Waits until the process has ended and returns its exit status. */
     int awaitExit() throws InterruptedException {
         if (!process.waitFor(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-            throw new AssertionError("the process did not end");
+            throw new AssertionError("the process did not end in time");
         }
         return process.exitValue();
     }
--- a/src/test/java/passhatch/proxy/RehearsalTest.java
+++ b/src/test/java/passhatch/proxy/RehearsalTest.java
@@ -17,7 +17,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The short life of a proxy whose classes are archived when the program is built. */
+/**
+ * The run of a proxy at build time whose classes are archived, and what a start must not load or initialize.
+ */
 @Timeout(60)
 final class RehearsalTest {
 
@@ -31,7 +33,10 @@
                 () -> errors.toString(StandardCharsets.UTF_8));
     }
 
-    /** A proxy that starts from the classes of the jar takes twice the time in which its backend errs. */
+    /**
+     * Without the archive a proxy loads its classes from the jar, and its start takes twice as long as the
+     * time within which its backend reports errors.
+     */
     @Test
     void buildCreatesTheArchiveThatTheRunCommandUses() throws IOException {
         List<String> lines = Files.readAllLines(Path.of("deploy/balancer.toml"));
@@ -43,7 +48,7 @@
         assertTrue(build.contains("-XX:ArchiveClassesAtExit=" + archive + " "), build);
     }
 
-    /** The archive holds what a start needs: with it no class of the proxy's is read from elsewhere. */
+    /** The archive must contain the proxy's own classes, so that a start reads none of them from the jar. */
     @Test
     void archiveHoldsTheNetworkCodeAndTheModule() throws Exception {
         Path jar = folder.resolve("passhatch.jar");
@@ -61,19 +66,23 @@
         String loaded = Files.readString(folder.resolve("loaded"));
         for (String name : List.of("LeastLoadedBalancer", "proxy.ProxyLoop", "proxy.BackendPool",
                 "proxy.ClientServer", "proxy.Discovery", "proxy.HangUpSignal")) {
-            assertTrue(loaded.contains(" passhatch." + name + " "), name + " is not loaded in it");
+            assertTrue(loaded.contains(" passhatch." + name + " "), name + " is not loaded by the rehearsal");
         }
     }
 
-    /** Netty's own events would set it up at the first buffer, for a third of a start's processor time. */
+    /**
+     * Netty's events would initialize the flight recorder with the first buffer, which takes a third of the
+     * processor time of a start.
+     */
     @Test
     void flightRecorderIsNotInitialized() throws Exception {
         String loaded = loadedByRehearsal();
-        assertTrue(loaded.contains(" io.netty.buffer.AdaptivePoolingAllocator "), "no buffer was made");
-        assertFalse(loaded.contains(" jdk.jfr.internal.MetadataLoader "), "the flight recorder is set up");
+        assertTrue(loaded.contains(" io.netty.buffer.AdaptivePoolingAllocator "), "no buffer was allocated");
+        assertFalse(loaded.contains(" jdk.jfr.internal.MetadataLoader "),
+                "the flight recorder is initialized");
     }
 
-    /** Each shape of concatenation would be put together at run time, where it is first used. */
+    /** Otherwise the JVM generates code for each shape of concatenation at run time, at its first use. */
     @Test
     void stringConcatenationIsCompiledInline() throws IOException {
         try (Stream<Path> files = Files.walk(Path.of("target/classes"))) {
@@ -86,19 +95,19 @@
         }
     }
 
-    /** They cost a tenth of a start, for a random id that needs no secrecy. */
+    /** Security providers take a tenth of a start, and the random id of a process needs no secrecy. */
     @Test
     void securityProvidersAreNotInitialized() throws Exception {
         assertFalse(loadedByRehearsal().contains(" sun.security.provider.NativePRNG "));
     }
 
-    /** A record's own hash code is put together at run time, at the first list of backends. */
+    /** The default hash code of a record would be generated at run time, with the first list of backends. */
     @Test
     void recordMethodsAreNotGeneratedAtRunTime() throws Exception {
         assertFalse(loadedByRehearsal().contains(" java.lang.runtime.ObjectMethods "));
     }
 
-    /** The names of the classes that a start and its first calls load, with a blank on either side. */
+    /** The JVM's log of the classes that a rehearsal loads; each name has a blank on either side. */
     private String loadedByRehearsal() throws Exception {
         Path log = folder.resolve("loaded");
         Process rehearsal = new ProcessBuilder(tool("java"), "-Xlog:class+load:file=" + log, "-cp",
@@ -113,7 +122,7 @@
         return Path.of(System.getProperty("java.home"), "bin", name).toString();
     }
 
-    /** An archive takes classes from jars alone. */
+    /** The jars of a class path; the JVM archives classes from jars only. */
     private static String jarsOnly(String classPath) {
         return String.join(System.getProperty("path.separator"),
                 List.of(classPath.split(System.getProperty("path.separator"))).stream()
--- a/src/test/java/passhatch/proxy/ReloadTest.java
+++ b/src/test/java/passhatch/proxy/ReloadTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import passhatch.Balancer;
 
-/** A configuration that is replaced while the proxy runs. */
+/** Reloading the configuration while the proxy runs. */
 @Timeout(60)
 final class ReloadTest {
 
@@ -64,7 +64,9 @@
         }
     }
 
-    /** SIGHUP would end a JVM that does not handle it, and be lost on one started with it ignored. */
+    /**
+     * Guards against SIGHUP ending a JVM without a handler, and against its loss if the parent ignores it.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "trap '' HUP TERM; "})
     void sighupMovesTheWatchAndNeverEndsTheProcess(String shellPrefix) throws Exception {
@@ -74,7 +76,7 @@
         try (ProxyProcess proxy = new ProxyProcess(env, shellPrefix)) {
             Files.writeString(Path.of(env.get("PROXY_CONFIG")), "{\"seed\":");
             proxy.signal("HUP");
-            proxy.awaitLog("configuration not taken over");
+            proxy.awaitLog("configuration not reloaded");
             awaitServedBy(proxy.address, "a");
             rig.environmentWithDiscovery(loopbackText(other.discovery().address()));
             proxy.signal("HUP");
@@ -87,7 +89,10 @@
         }
     }
 
-    /** Index 8 of the old address means nothing to the new one, where the same index is another list. */
+    /**
+     * Each address numbers its lists independently, so the proxy must not watch the new one from the old
+     * index.
+     */
     @Test
     void newAddressIsAskedForTheFullListFirst() throws Exception {
         rig.start(servingEntry("s", respondingWith("a")));
@@ -101,10 +106,13 @@
         rig.discoveryLines.add(Rig.list(9, true));
         rig.discoveryLines.add(Rig.END_OF_WATCH);
         rig.discovery().awaitEnded();
-        assertEquals("b", rig.call(Rig.get("r", "")).text(), "the old address is heard no more");
+        assertEquals("b", rig.call(Rig.get("r", "")).text(), "lists from the old address are ignored");
     }
 
-    /** What the old address tells before the new one speaks counts as told, so it must be heard. */
+    /**
+     * Changes that the old address sends before the new one responds count as known to the proxy, so it must
+     * apply them.
+     */
     @Test
     void oldAddressIsWatchedUntilTheNewOneResponds() throws Exception {
         ScriptedServer a = respondingWith("a");
@@ -117,7 +125,10 @@
         awaitServedBy(rig.proxy().address(), "b");
     }
 
-    /** A module that asks by itself takes each list for a sign that it watches: it would never ask there. */
+    /**
+     * A module that polls discovery takes every list as a sign that its watch is open. If it received a list
+     * from the old address after the reload, it would never watch the new one.
+     */
     @Test
     void listFromTheOldAddressDoesNotCountAsAWatchOfTheNewOne() throws Exception {
         rig.replaceInConfig("\"discovery\":\"pushed\"", "\"discovery\":\"on_request\"")
--- a/src/test/java/passhatch/proxy/SettingsTest.java
+++ b/src/test/java/passhatch/proxy/SettingsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import passhatch.Balancer;
 
-/** Whatever one customer's settings say holds for that customer's proxy, and for no other. */
+/** Validation of settings, and their isolation between proxies of different customers. */
 @Timeout(60)
 final class SettingsTest {
 
@@ -58,7 +58,10 @@
         assertTrue(text.contains(expectedMessage), text);
     }
 
-    /** Side by side in one JVM: the same names with other effects, and classes that the other lacks. */
+    /**
+     * Guards against settings that are shared by the JVM. The two proxies have a request class of the same
+     * name with different effects, and each has classes and tenants that the other lacks.
+     */
     @Test
     void proxiesInOneJvmKeepTheirOwnSettings() throws Exception {
         try (Rig one = new Rig(folder); Rig other = new Rig(otherFolder)) {
@@ -69,17 +72,19 @@
                     .replaceInConfig("\"effect\":\"pure\"", "\"effect\":\"side_effect\"")
                     .replaceInConfig("\"name\":\"acme\"", "\"name\":\"acme-2\"").start(entry);
             assertEquals(200, one.call(Rig.get("a", "X-Tenant: acme\r\n")).status());
-            assertEquals(400, other.call(Rig.get("a", "")).status(), "it is unsafe there");
+            assertEquals(400, other.call(Rig.get("a", "")).status(),
+                    "GET is refused, as the class has side effects in this proxy");
             assertEquals(200, other.call(Rig.post("/board", "b", "X-Tenant: acme-2\r\n")).status());
             assertEquals(400, other.call(Rig.post("/board", "c", "X-Tenant: acme\r\n")).status());
             assertEquals(200, other.call(Rig.post("/board-fee", "d", "Idempotency-Key: k\r\n")).status());
-            assertEquals(400, other.call(Rig.post("/board-fee", "e", "")).status(), "its key is missing");
+            assertEquals(400, other.call(Rig.post("/board-fee", "e", "")).status(),
+                    "the idempotency key is missing");
             assertEquals(404, one.call(Rig.post("/board-fee", "f", "Idempotency-Key: k\r\n")).status());
             assertEquals(404, one.call(Rig.post("/boar", "g", "")).status());
         }
     }
 
-    /** A request that names no tenant takes nothing from the first one's share. */
+    /** Guards against counting a request without a tenant towards the quota of the first tenant. */
     @Test
     void requestWithoutATenantBelongsToNoTenant() throws Exception {
         BlockingQueue<Integer> tenants = new LinkedBlockingQueue<>();
--- a/src/test/java/passhatch/proxy/ShutdownTest.java
+++ b/src/test/java/passhatch/proxy/ShutdownTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import passhatch.proxy.HttpTestConnection.Message;
 
-/** SIGTERM, to a process of its own. */
+/** Shutdown by SIGTERM, with requests that are pending or still arriving. */
 @Timeout(60)
 final class ShutdownTest {
 
     @TempDir
     Path folder;
 
-    /** SIGKILL does not wait for a class's deadline of 10 s. */
+    /** SIGKILL comes before the request's deadline of 10 s, so the proxy must answer the request earlier. */
     @Test
     void pendingRequestIsAnsweredBeforeSigkill() throws Exception {
         try (Rig rig = new Rig(folder)) {
@@ -56,7 +56,8 @@
                 proxy.awaitLog("shutting down");
                 HttpTestConnection open = HttpTestConnection.connect(proxy.address);
                 open.write(Rig.get("quick", ""));
-                assertNull(open.read().header("Connection"), "clients may have nowhere else to go yet");
+                assertNull(open.read().header("Connection"),
+                        "the connection is kept, as clients may have no other proxy yet");
                 backend.next();
                 HttpTestConnection late = HttpTestConnection.connect(proxy.address);
                 late.write(Rig.get("late", ""));
@@ -66,7 +67,7 @@
                 while (proxy.isListening()) {
                     Thread.sleep(10);
                 }
-                assertNull(unused.read(), "an idle connection is closed while others are served");
+                assertNull(unused.read(), "the idle connection is closed while others are in use");
                 release.countDown();
                 for (HttpTestConnection client : new HttpTestConnection[] {pending, late, kept}) {
                     Message response = client.read();
--- a/src/test/java/passhatch/proxy/UpgradeTest.java
+++ b/src/test/java/passhatch/proxy/UpgradeTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import passhatch.proxy.HttpTestConnection.Message;
 
-/** A second process of the same proxy, started beside the first. */
+/** Upgrade by hot restart: a second process of the same proxy starts while the first is running. */
 @Timeout(120)
 final class UpgradeTest {
 
@@ -42,7 +42,7 @@
         rig.close();
     }
 
-    /** A process and its console. */
+    /** A proxy process that is ready, with its console. */
     private final class ReadyProxy implements AutoCloseable {
         final InetSocketAddress console = ProxyProcess.freeAddress();
         final ProxyProcess proxy;
@@ -62,7 +62,7 @@
             while (!succeeds("GET /control/ready")) {
                 if (System.nanoTime() > deadlineNs) {
                     proxy.close();
-                    throw new AssertionError("it did not get ready");
+                    throw new AssertionError("the proxy did not become ready in time");
                 }
                 Thread.sleep(10);
             }
@@ -137,12 +137,13 @@
                 }
                 stop.set(true);
                 assertEquals("200 b", clientResult.get(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-                assertEquals(0, a.received.size(), "what is out by hand is out for the successor too");
+                assertEquals(0, a.received.size(), "the disabled backend is disabled in the successor too");
                 assertTrue(second.succeeds("POST /control/backends/a/online"));
                 long deadlineNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
                 for (int i = 0; a.received.isEmpty(); i++) {
                     call(listen, "again" + i);
-                    assertTrue(System.nanoTime() < deadlineNs, "it gets nothing after the call back");
+                    assertTrue(System.nanoTime() < deadlineNs,
+                            "the backend got no request after it was enabled again");
                 }
             }
         }
@@ -187,7 +188,7 @@
             }
             first.proxy.signal("TERM");
             first.proxy.awaitLog("shutting down");
-            assertEquals("200 a", call(listen, "late"), "with no successor it takes what still comes");
+            assertEquals("200 a", call(listen, "late"), "without a successor it still accepts connections");
             assertEquals(0, first.proxy.awaitExit());
         }
     }
