--- a/src/main/java/passhatch/adapter/BatchReader.java
+++ b/src/main/java/passhatch/adapter/BatchReader.java
@@ -17,9 +17,9 @@
 final class BatchReader {
 
     private final JsonParser parser;
-    private final List<Event> pool = new ArrayList<>();
-    private final int[] instances = new int[1];
-    private int size;
+    private final List<InputMessage> messages = new ArrayList<>();
+    private final int[] groupInstanceId = new int[1];
+    private int messageCount;
     private long nowUs;
     private int line;
 
@@ -28,7 +28,7 @@
     }
 
     /** Reads the next batch; false at the end of input. */
-    boolean next() throws IOException, WireException {
+    boolean readNext() throws IOException, InvalidInputException {
         try {
             JsonToken token = parser.nextToken();
             if (token == null) {
@@ -36,42 +36,42 @@
             }
             line = parser.currentTokenLocation().getLineNr();
             expect(token, JsonToken.START_OBJECT, "a batch");
-            size = 0;
-            nowUs = Event.ABSENT;
-            boolean groups = false;
+            messageCount = 0;
+            nowUs = InputMessage.ABSENT;
+            boolean groupsSeen = false;
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String field = parser.currentName();
                 parser.nextToken();
                 switch (field) {
-                    case "atTimeUs" -> nowUs = number(field);
+                    case "atTimeUs" -> nowUs = readLong(field);
                     case "groups" -> {
-                        groups = true;
+                        groupsSeen = true;
                         readGroups();
                     }
                     default -> parser.skipChildren();
                 }
             }
-            if (nowUs == Event.ABSENT) {
-                throw bad("batch: field atTimeUs is missing");
+            if (nowUs == InputMessage.ABSENT) {
+                throw invalid("batch: field atTimeUs is missing");
             }
-            if (!groups) {
-                throw bad("batch: field groups is missing");
+            if (!groupsSeen) {
+                throw invalid("batch: field groups is missing");
             }
             return true;
         } catch (JsonProcessingException e) {
-            var at = e.getLocation();
-            throw new WireException("line " + (at == null ? line : at.getLineNr()) + ", column "
-                    + (at == null ? 0 : at.getColumnNr()) + ": not valid JSON: "
+            var location = e.getLocation();
+            throw new InvalidInputException("line " + (location == null ? line : location.getLineNr())
+                    + ", column " + (location == null ? 0 : location.getColumnNr()) + ": not valid JSON: "
                     + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
 
-    int size() {
-        return size;
+    int messageCount() {
+        return messageCount;
     }
 
-    Event event(int i) {
-        return pool.get(i);
+    InputMessage message(int index) {
+        return messages.get(index);
     }
 
     long nowUs() {
@@ -82,102 +82,102 @@
         return line;
     }
 
-    private void readGroups() throws IOException, WireException {
+    private void readGroups() throws IOException, InvalidInputException {
         expect(parser.currentToken(), JsonToken.START_ARRAY, "groups");
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             expect(parser.currentToken(), JsonToken.START_OBJECT, "an item of groups");
-            int first = size;
-            instances[0] = Integer.MIN_VALUE;
+            int firstInGroup = messageCount;
+            groupInstanceId[0] = Integer.MIN_VALUE;
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String field = parser.currentName();
                 parser.nextToken();
                 switch (field) {
-                    case "who" -> instances[0] = (int) number(field);
-                    case "input" -> readEvents();
+                    case "who" -> groupInstanceId[0] = (int) readLong(field);
+                    case "input" -> readMessages();
                     default -> parser.skipChildren();
                 }
             }
-            if (instances[0] == Integer.MIN_VALUE) {
-                throw bad("group: field who is missing");
+            if (groupInstanceId[0] == Integer.MIN_VALUE) {
+                throw invalid("group: field who is missing");
             }
-            for (int i = first; i < size; i++) {
-                pool.get(i).who = instances[0];
+            for (int i = firstInGroup; i < messageCount; i++) {
+                messages.get(i).instanceId = groupInstanceId[0];
             }
         }
     }
 
-    private void readEvents() throws IOException, WireException {
+    private void readMessages() throws IOException, InvalidInputException {
         expect(parser.currentToken(), JsonToken.START_ARRAY, "input");
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             expect(parser.currentToken(), JsonToken.START_OBJECT, "an item of input");
-            if (size == pool.size()) {
-                pool.add(new Event());
+            if (messageCount == messages.size()) {
+                messages.add(new InputMessage());
             }
-            Event e = pool.get(size++).clear(0, line);
+            InputMessage message = messages.get(messageCount++).reset(0, line);
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String field = parser.currentName();
                 if (parser.nextToken() != JsonToken.VALUE_NULL) {
-                    readField(e, field);
+                    readField(message, field);
                 }
             }
-            if (e.msg == null) {
-                throw bad("message: field msg is missing");
+            if (message.type == null) {
+                throw invalid("message: field msg is missing");
             }
         }
     }
 
-    private void readField(Event e, String field) throws IOException, WireException {
+    private void readField(InputMessage message, String field) throws IOException, InvalidInputException {
         switch (field) {
-            case "msg" -> e.msg = text(field);
-            case "opId" -> e.opId = text(field);
-            case "backend" -> e.backend = text(field);
-            case "ending" -> e.ending = text(field);
-            case "mode" -> e.mode = text(field);
-            case "last" -> e.last = flag(field);
-            case "profile" -> e.profile = number(field);
-            case "billing" -> e.billing = number(field);
-            case "budgetUs" -> e.budgetUs = number(field);
-            case "predictedUs" -> e.predictedUs = number(field);
-            case "marks" -> e.marks = number(field);
-            case "elapsedUs" -> e.elapsedUs = number(field);
-            case "leg" -> e.leg = number(field);
-            case "rosterId" -> e.rosterId = number(field);
+            case "msg" -> message.type = readString(field);
+            case "opId" -> message.requestId = readString(field);
+            case "backend" -> message.serverId = readString(field);
+            case "ending" -> message.outcome = readString(field);
+            case "mode" -> message.listMode = readString(field);
+            case "last" -> message.requestEnded = readBoolean(field);
+            case "profile" -> message.requestClass = readLong(field);
+            case "billing" -> message.tenant = readLong(field);
+            case "budgetUs" -> message.timeLeftUs = readLong(field);
+            case "predictedUs" -> message.expectedWorkUs = readLong(field);
+            case "marks" -> message.flags = readLong(field);
+            case "elapsedUs" -> message.elapsedUs = readLong(field);
+            case "leg" -> message.attempt = readLong(field);
+            case "rosterId" -> message.listId = readLong(field);
             case "nonce64" -> {
-                number(field);
-                e.nonce64 = parser.getBigIntegerValue().longValue();
+                readLong(field);
+                message.seed = parser.getBigIntegerValue().longValue();
             }
-            case "stats" -> e.stats = readNumbers(field);
-            case "nodesList" -> readNodes(e.newNodes());
+            case "stats" -> message.loadValues = readNumbers(field);
+            case "nodesList" -> readServers(message.newServers());
             case "params" -> {
                 expect(parser.currentToken(), JsonToken.START_OBJECT, field);
-                e.params = readObject();
+                message.settings = readObject();
             }
             default -> parser.skipChildren();
         }
     }
 
-    private double[] readNumbers(String field) throws IOException, WireException {
+    private double[] readNumbers(String field) throws IOException, InvalidInputException {
         expect(parser.currentToken(), JsonToken.START_ARRAY, field);
         double[] values = new double[4];
-        int n = 0;
+        int count = 0;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            double value = parser.currentToken() == JsonToken.VALUE_NULL ? -1 : decimal(field);
-            if (n < values.length) {
-                values[n++] = value;
+            double value = parser.currentToken() == JsonToken.VALUE_NULL ? -1 : readDouble(field);
+            if (count < values.length) {
+                values[count++] = value;
             }
         }
-        return java.util.Arrays.copyOf(values, n);
+        return java.util.Arrays.copyOf(values, count);
     }
 
-    private void readNodes(List<Server> nodes) throws IOException, WireException {
+    private void readServers(List<Server> servers) throws IOException, InvalidInputException {
         expect(parser.currentToken(), JsonToken.START_ARRAY, "nodesList");
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             expect(parser.currentToken(), JsonToken.START_OBJECT, "an item of nodesList");
             String id = null;
             long startedAtUs = 0;
             int zone = 0;
-            int group = 0;
-            int model = 0;
+            int cell = 0;
+            int machineType = 0;
             ServerStatus status = null;
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String field = parser.currentName();
@@ -185,28 +185,28 @@
                     continue;
                 }
                 switch (field) {
-                    case "backend" -> id = text(field);
-                    case "bootTimeUs" -> startedAtUs = number(field);
-                    case "dc" -> zone = (int) number(field);
-                    case "group" -> group = (int) number(field);
-                    case "model" -> model = (int) number(field);
-                    case "readiness" -> status = status(text(field));
+                    case "backend" -> id = readString(field);
+                    case "bootTimeUs" -> startedAtUs = readLong(field);
+                    case "dc" -> zone = (int) readLong(field);
+                    case "group" -> cell = (int) readLong(field);
+                    case "model" -> machineType = (int) readLong(field);
+                    case "readiness" -> status = serverStatus(readString(field));
                     default -> parser.skipChildren();
                 }
             }
             if (id == null || status == null) {
-                throw bad("catalog: field " + (id == null ? "backend" : "readiness") + " is missing");
+                throw invalid("catalog: field " + (id == null ? "backend" : "readiness") + " is missing");
             }
-            nodes.add(new Server(id, startedAtUs, zone, group, status, model));
+            servers.add(new Server(id, startedAtUs, zone, cell, status, machineType));
         }
     }
 
-    private ServerStatus status(String text) throws WireException {
-        return switch (text) {
+    private ServerStatus serverStatus(String readiness) throws InvalidInputException {
+        return switch (readiness) {
             case "U" -> ServerStatus.UP;
             case "L" -> ServerStatus.DRAINING;
             case "D" -> ServerStatus.GONE;
-            default -> throw bad("catalog: readiness '" + text + "' is not known");
+            default -> throw invalid("catalog: readiness '" + readiness + "' is not known");
         };
     }
 
@@ -244,42 +244,43 @@
         }
     }
 
-    private long number(String field) throws IOException, WireException {
+    private long readLong(String field) throws IOException, InvalidInputException {
         if (parser.currentToken() == JsonToken.VALUE_NUMBER_INT) {
             return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER ? Long.MAX_VALUE
                     : parser.getLongValue();
         }
-        throw bad("field " + field + " must be a whole number");
+        throw invalid("field " + field + " must be a whole number");
     }
 
-    private double decimal(String field) throws IOException, WireException {
+    private double readDouble(String field) throws IOException, InvalidInputException {
         if (!parser.currentToken().isNumeric()) {
-            throw bad("field " + field + " must hold numbers");
+            throw invalid("field " + field + " must hold numbers");
         }
         return parser.getDoubleValue();
     }
 
-    private String text(String field) throws IOException, WireException {
+    private String readString(String field) throws IOException, InvalidInputException {
         if (parser.currentToken() != JsonToken.VALUE_STRING) {
-            throw bad("field " + field + " must be a text");
+            throw invalid("field " + field + " must be a text");
         }
         return parser.getText();
     }
 
-    private boolean flag(String field) throws IOException, WireException {
+    private boolean readBoolean(String field) throws IOException, InvalidInputException {
         if (!parser.currentToken().isBoolean()) {
-            throw bad("field " + field + " must be true or false");
+            throw invalid("field " + field + " must be true or false");
         }
         return parser.getBooleanValue();
     }
 
-    private void expect(JsonToken token, JsonToken wanted, String what) throws WireException {
-        if (token != wanted) {
-            throw bad(what + " must be " + (wanted == JsonToken.START_OBJECT ? "an object" : "an array"));
+    private void expect(JsonToken actual, JsonToken expected, String element) throws InvalidInputException {
+        if (actual != expected) {
+            throw invalid(element + " must be "
+                    + (expected == JsonToken.START_OBJECT ? "an object" : "an array"));
         }
     }
 
-    private WireException bad(String what) {
-        return new WireException("line " + line + ": " + what);
+    private InvalidInputException invalid(String problem) {
+        return new InvalidInputException("line " + line + ": " + problem);
     }
 }
--- a/src/main/java/passhatch/adapter/WireException.java
+++ b/src/main/java/passhatch/adapter/InvalidInputException.java
@@ -1,11 +1,11 @@
 package passhatch.adapter;
 
 /** Input that the wire does not allow; the message says what and where. */
-public final class WireException extends Exception {
+public final class InvalidInputException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    InvalidInputException(String message) {
         super(message);
     }
 }
--- a/src/main/java/passhatch/adapter/Main.java
+++ b/src/main/java/passhatch/adapter/Main.java
@@ -33,19 +33,19 @@
 
     static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
         if (args.length == 1 && args[0].equals("serve")) {
-            return untilInterrupted(() -> ProxyServer.serve(System.getenv(), err));
+            return runInterruptible(() -> ProxyServer.serve(System.getenv(), err));
         }
         if (args.length == 1 && args[0].equals("rehearse")) {
-            return untilInterrupted(() -> Rehearsal.run(err));
+            return runInterruptible(() -> Rehearsal.run(err));
         }
         if (args.length != 1 || !args[0].equals("adapter")) {
             err.println(USAGE);
             return 2;
         }
         try {
-            new Wire(in, out).serve();
+            new SimulatorAdapter(in, out).serve();
             return 0;
-        } catch (WireException e) {
+        } catch (InvalidInputException e) {
             err.println("passhatch: " + e.getMessage());
         } catch (IOException e) {
             err.println("passhatch: input or output failed: " + e.getMessage());
@@ -54,11 +54,11 @@
     }
 
     /** A command that waits. */
-    private interface Waiting {
+    private interface InterruptibleCommand {
         int run() throws InterruptedException;
     }
 
-    private static int untilInterrupted(Waiting command) {
+    private static int runInterruptible(InterruptibleCommand command) {
         try {
             return command.run();
         } catch (InterruptedException e) {
--- a/src/main/java/passhatch/adapter/SettingsReader.java
+++ b/src/main/java/passhatch/adapter/SettingsReader.java
@@ -27,107 +27,110 @@
     }
 
     /** Reads the settings; the message of what is thrown names the key that is at fault. */
-    public static Settings read(Map<String, Object> params) throws WireException {
-        SettingsReader top = new SettingsReader(params, "");
+    public static Settings read(Map<String, Object> params) throws InvalidInputException {
+        SettingsReader root = new SettingsReader(params, "");
         List<RequestClass> classes = new ArrayList<>();
-        for (SettingsReader c : top.list("categories")) {
-            classes.add(new RequestClass(c.text("name", ""), c.whole("goalTimeUs"), c.whole("deadlineUs"),
-                    c.number("worth"), c.number("lateWorth", 0), c.effect(), c.group(),
-                    (long) c.number("dedupWindowUs", 0), c.indices("runsIn"),
-                    c.indices("machineTypesOnly")));
+        for (SettingsReader classSettings : root.list("categories")) {
+            classes.add(new RequestClass(classSettings.text("name", ""),
+                    classSettings.roundedNumber("goalTimeUs"), classSettings.roundedNumber("deadlineUs"),
+                    classSettings.number("worth"), classSettings.number("lateWorth", 0),
+                    classSettings.effect(), classSettings.dedupScope(),
+                    (long) classSettings.number("dedupWindowUs", 0), classSettings.indices("runsIn"),
+                    classSettings.indices("machineTypesOnly")));
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (SettingsReader t : top.list("tenants")) {
-            tenants.add(new Tenant(t.text("name", ""), t.number("quotaPerS", 0)));
+        for (SettingsReader tenantSettings : root.list("tenants")) {
+            tenants.add(new Tenant(tenantSettings.text("name", ""), tenantSettings.number("quotaPerS", 0)));
         }
-        SettingsReader limits = top.object("limits");
-        SettingsReader rules = top.object("rules");
-        SettingsReader prices = top.object("fees");
-        boolean ask = top.text("discovery", "pushed").equals("on_request");
-        int tiers = top.values.get("layers") instanceof List<?> names ? Math.max(1, names.size()) : 1;
-        SettingsBuilder built = new SettingsBuilder();
-        classes.forEach(built::requestClass);
-        tenants.forEach(built::tenant);
-        return built
-                .limits(new Limits((int) limits.whole("maxAttempts"), limits.flag("cancel"),
+        SettingsReader limits = root.object("limits");
+        SettingsReader rules = root.object("rules");
+        SettingsReader prices = root.object("fees");
+        boolean onRequest = root.text("discovery", "pushed").equals("on_request");
+        int tiers = root.values.get("layers") instanceof List<?> layers ? Math.max(1, layers.size()) : 1;
+        SettingsBuilder builder = new SettingsBuilder();
+        classes.forEach(builder::requestClass);
+        tenants.forEach(builder::tenant);
+        return builder
+                .limits(new Limits((int) limits.roundedNumber("maxAttempts"), limits.flag("cancel"),
                         limits.flag("probes"),
                         limits.flag("retryAfter") ? (long) limits.number("maxRetryAfterUs", 0) : 0,
                         (int) limits.number("maxStreams", 1), (long) limits.number("keepaliveUs", 0),
                         limits.flag("mayDuplicate")))
-                .rules(new Rules(rules.whole("drainGraceUs"), ask ? rules.whole("askEveryUs") : 0,
-                        rules.number("coldFrom"), rules.whole("coldUs"), rules.number("tipMultiple"),
-                        rules.whole("overloadForUs"), (long) rules.number("letGoInUs", 0)))
+                .rules(new Rules(rules.roundedNumber("drainGraceUs"),
+                        onRequest ? rules.roundedNumber("askEveryUs") : 0,
+                        rules.number("coldFrom"), rules.roundedNumber("coldUs"), rules.number("tipMultiple"),
+                        rules.roundedNumber("overloadForUs"), (long) rules.number("letGoInUs", 0)))
                 .prices(new Prices(prices.number("probe", 0), prices.number("crossZone", 0)))
-                .replicas((int) top.whole("balancers"), (int) top.number("me", 0))
-                .tier((int) top.number("layer", 0), tiers)
-                .zone((int) top.number("locality", 0))
-                .watch(ask)
-                .overQuotaValueFraction(top.number("overShareWorth", 1))
-                .tickUs((long) top.number("resolutionUs", 1))
+                .replicas((int) root.roundedNumber("balancers"), (int) root.number("me", 0))
+                .tier((int) root.number("layer", 0), tiers)
+                .zone((int) root.number("locality", 0))
+                .watch(onRequest)
+                .overQuotaValueFraction(root.number("overShareWorth", 1))
+                .tickUs((long) root.number("resolutionUs", 1))
                 .build();
     }
 
-    private Effect effect() throws WireException {
+    private Effect effect() throws InvalidInputException {
         String text = text("effect", null);
         if (text == null) {
-            throw bad("effect", "is missing");
+            throw invalid("effect", "is missing");
         }
         return switch (text) {
             case "pure" -> Effect.SAFE;
             case "token" -> Effect.KEYED;
             case "side_effect" -> Effect.UNSAFE;
-            default -> throw bad("effect", "'" + text + "' is not known");
+            default -> throw invalid("effect", "'" + text + "' is not known");
         };
     }
 
-    private DedupScope group() throws WireException {
+    private DedupScope dedupScope() throws InvalidInputException {
         String text = text("group", "all");
         return switch (text) {
             case "all" -> DedupScope.ALL;
             case "zone" -> DedupScope.ZONE;
             case "cell" -> DedupScope.CELL;
-            default -> throw bad("group", "'" + text + "' is not known");
+            default -> throw invalid("group", "'" + text + "' is not known");
         };
     }
 
-    private double number(String key) throws WireException {
+    private double number(String key) throws InvalidInputException {
         if (values.get(key) == null) {
-            throw bad(key, "is missing");
+            throw invalid(key, "is missing");
         }
         return number(key, 0);
     }
 
-    private double number(String key, double absent) throws WireException {
+    private double number(String key, double defaultValue) throws InvalidInputException {
         Object value = values.get(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
-        if (value instanceof Number n) {
-            return n.doubleValue();
+        if (value instanceof Number number) {
+            return number.doubleValue();
         }
-        throw bad(key, "must be a number");
+        throw invalid(key, "must be a number");
     }
 
     /** A list of indices as a set; null where absent. */
-    private Set<Integer> indices(String key) throws WireException {
+    private Set<Integer> indices(String key) throws InvalidInputException {
         Object value = values.get(key);
         if (value == null) {
             return null;
         }
         if (!(value instanceof List<?> items)) {
-            throw bad(key, "must be an array");
+            throw invalid(key, "must be an array");
         }
         Set<Integer> result = new HashSet<>();
         for (Object item : items) {
             if (!(item instanceof Integer index)) {
-                throw bad(key, "must hold whole numbers");
+                throw invalid(key, "must hold whole numbers");
             }
             result.add(index);
         }
         return result;
     }
 
-    private long whole(String key) throws WireException {
+    private long roundedNumber(String key) throws InvalidInputException {
         return Math.round(number(key));
     }
 
@@ -135,46 +138,46 @@
         return Boolean.TRUE.equals(values.get(key));
     }
 
-    private String text(String key, String absent) throws WireException {
+    private String text(String key, String defaultValue) throws InvalidInputException {
         Object value = values.get(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof String text) {
             return text;
         }
-        throw bad(key, "must be a text");
+        throw invalid(key, "must be a text");
     }
 
-    private SettingsReader object(String key) throws WireException {
+    private SettingsReader object(String key) throws InvalidInputException {
         Object value = values.get(key);
         return new SettingsReader(value == null ? Map.of() : asObject(value, key), path + key + ".");
     }
 
-    private List<SettingsReader> list(String key) throws WireException {
+    private List<SettingsReader> list(String key) throws InvalidInputException {
         List<SettingsReader> result = new ArrayList<>();
         Object value = values.get(key);
         if (value != null && !(value instanceof List<?>)) {
-            throw bad(key, "must be an array");
+            throw invalid(key, "must be an array");
         }
         if (value instanceof List<?> items) {
             for (int i = 0; i < items.size(); i++) {
-                String at = key + "[" + i + "]";
-                result.add(new SettingsReader(asObject(items.get(i), at), path + at + "."));
+                String elementKey = key + "[" + i + "]";
+                result.add(new SettingsReader(asObject(items.get(i), elementKey), path + elementKey + "."));
             }
         }
         return result;
     }
 
     @SuppressWarnings("unchecked")
-    private Map<String, Object> asObject(Object value, String key) throws WireException {
+    private Map<String, Object> asObject(Object value, String key) throws InvalidInputException {
         if (value instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw bad(key, "must be an object");
+        throw invalid(key, "must be an object");
     }
 
-    private WireException bad(String key, String what) {
-        return new WireException("params." + path + key + " " + what);
+    private InvalidInputException invalid(String key, String problem) {
+        return new InvalidInputException("params." + path + key + " " + problem);
     }
 }
--- a/src/main/java/passhatch/proxy/ProxyConfig.java
+++ b/src/main/java/passhatch/proxy/ProxyConfig.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import passhatch.Balancer.Settings;
 import passhatch.adapter.SettingsReader;
-import passhatch.adapter.WireException;
+import passhatch.adapter.InvalidInputException;
 
 /**
  * The validated configuration of this proxy, from the environment and the file that it names.
@@ -83,7 +83,7 @@
         Settings settings;
         try {
             settings = SettingsReader.read(settingsFields);
-        } catch (WireException | IllegalArgumentException e) {
+        } catch (InvalidInputException | IllegalArgumentException e) {
             throw new InvalidConfigException("config: settings: " + e.getMessage());
         }
         List<String> zones = stringListField(settingsFields, "dcs");
