--- a/src/main/java/passhatch/adapter/BatchReader.java
+++ b/src/main/java/passhatch/adapter/BatchReader.java
@@ -13,11 +13,16 @@
 import passhatch.Balancer.Server;
 import passhatch.Balancer.ServerStatus;
 
-/** Reads batches. The events of a batch are reused by the next one. */
+/**
+ * Reads batches of messages from the simulator, as JSON objects. Fields that are not known are ignored. The
+ * message objects of a batch are reused by the next one.
+ */
 final class BatchReader {
 
     private final JsonParser parser;
+    /** The messages of the batch, followed by spare ones of larger batches before it. */
     private final List<InputMessage> messages = new ArrayList<>();
+    /** The instance of the group being read, at index 0; Integer.MIN_VALUE until its field is read. */
     private final int[] groupInstanceId = new int[1];
     private int messageCount;
     private long nowUs;
@@ -27,7 +32,13 @@
         parser = new JsonFactory().createParser(in);
     }
 
-    /** Reads the next batch; false at the end of input. */
+    /**
+     * Reads the next batch.
+     *
+     * @return false at the end of the input
+     * @throws IOException if the input cannot be read
+     * @throws InvalidInputException if the batch is not valid JSON, lacks a field or has one of a wrong type
+     */
     boolean readNext() throws IOException, InvalidInputException {
         try {
             JsonToken token = parser.nextToken();
@@ -66,18 +77,22 @@
         }
     }
 
+    /** Returns the number of messages in the batch, over all its groups. */
     int messageCount() {
         return messageCount;
     }
 
+    /** Returns a message of the batch by its index, from 0; valid until the next batch is read. */
     InputMessage message(int index) {
         return messages.get(index);
     }
 
+    /** Returns the time of the batch in microseconds, on the simulator's clock. */
     long nowUs() {
         return nowUs;
     }
 
+    /** Returns the input line, from 1, on which the batch begins. */
     int line() {
         return line;
     }
@@ -156,6 +171,7 @@
         }
     }
 
+    /** Reads an array of numbers: null becomes -1, and numbers after the fourth are ignored. */
     private double[] readNumbers(String field) throws IOException, InvalidInputException {
         expect(parser.currentToken(), JsonToken.START_ARRAY, field);
         double[] values = new double[4];
@@ -244,6 +260,7 @@
         }
     }
 
+    /** Reads an integer; one that does not fit into a long becomes Long.MAX_VALUE. */
     private long readLong(String field) throws IOException, InvalidInputException {
         if (parser.currentToken() == JsonToken.VALUE_NUMBER_INT) {
             return parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER ? Long.MAX_VALUE
@@ -254,14 +271,14 @@
 
     private double readDouble(String field) throws IOException, InvalidInputException {
         if (!parser.currentToken().isNumeric()) {
-            throw invalid("field " + field + " must hold numbers");
+            throw invalid("field " + field + " must hold only numbers or null");
         }
         return parser.getDoubleValue();
     }
 
     private String readString(String field) throws IOException, InvalidInputException {
         if (parser.currentToken() != JsonToken.VALUE_STRING) {
-            throw invalid("field " + field + " must be a text");
+            throw invalid("field " + field + " must be a string");
         }
         return parser.getText();
     }
--- a/src/main/java/passhatch/adapter/InvalidInputException.java
+++ b/src/main/java/passhatch/adapter/InvalidInputException.java
@@ -1,6 +1,6 @@
 package passhatch.adapter;
 
-/** Input that the wire does not allow; the message says what and where. */
+/** A message of the simulator or a setting is invalid; the exception's message says what and where. */
 public final class InvalidInputException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/passhatch/adapter/SettingsReader.java
+++ b/src/main/java/passhatch/adapter/SettingsReader.java
@@ -15,10 +15,15 @@
 import passhatch.Balancer.Tenant;
 import passhatch.SettingsBuilder;
 
-/** Turns the wire's settings into the library's. Keys that are not known are passed over. */
+/**
+ * Converts settings from the JSON of the simulator or of a proxy's configuration file to the
+ * {@link Settings} of the decision module. A reader covers one JSON object of the settings. Keys that are not
+ * known are ignored; a value that is null counts as absent.
+ */
 public final class SettingsReader {
 
     private final Map<String, Object> values;
+    /** The path of this object in the settings, for error messages; empty or ending in a dot. */
     private final String path;
 
     private SettingsReader(Map<String, Object> values, String path) {
@@ -26,7 +31,13 @@
         this.path = path;
     }
 
-    /** Reads the settings; the message of what is thrown names the key that is at fault. */
+    /**
+     * Reads the settings. Only their form is checked here; {@code Logic} checks the values.
+     *
+     * @param params the JSON object as nested maps, lists, strings, numbers and booleans
+     * @throws InvalidInputException if a required key is absent or a value has a wrong type; its message
+     *     names the key with its path
+     */
     public static Settings read(Map<String, Object> params) throws InvalidInputException {
         SettingsReader root = new SettingsReader(params, "");
         List<RequestClass> classes = new ArrayList<>();
@@ -93,6 +104,7 @@
         };
     }
 
+    /** A number that is required. */
     private double number(String key) throws InvalidInputException {
         if (values.get(key) == null) {
             throw invalid(key, "is missing");
@@ -111,7 +123,7 @@
         throw invalid(key, "must be a number");
     }
 
-    /** A list of indices as a set; null where absent. */
+    /** An array of whole numbers as a set; null if it is absent. */
     private Set<Integer> indices(String key) throws InvalidInputException {
         Object value = values.get(key);
         if (value == null) {
@@ -130,10 +142,12 @@
         return result;
     }
 
+    /** A number that is required, rounded to the nearest whole number. */
     private long roundedNumber(String key) throws InvalidInputException {
         return Math.round(number(key));
     }
 
+    /** True only if the value is the JSON literal true. */
     private boolean flag(String key) {
         return Boolean.TRUE.equals(values.get(key));
     }
@@ -146,14 +160,16 @@
         if (value instanceof String text) {
             return text;
         }
-        throw invalid(key, "must be a text");
+        throw invalid(key, "must be a string");
     }
 
+    /** A nested object; an empty one if it is absent. */
     private SettingsReader object(String key) throws InvalidInputException {
         Object value = values.get(key);
         return new SettingsReader(value == null ? Map.of() : asObject(value, key), path + key + ".");
     }
 
+    /** An array of objects; empty if it is absent. */
     private List<SettingsReader> list(String key) throws InvalidInputException {
         List<SettingsReader> result = new ArrayList<>();
         Object value = values.get(key);
--- a/src/main/java/passhatch/adapter/SimulatorAdapter.java
+++ b/src/main/java/passhatch/adapter/SimulatorAdapter.java
@@ -20,17 +20,23 @@
 import passhatch.Balancer.Server;
 import passhatch.LeastLoadedBalancer;
 
-/** Hosts the instances of one process: hands each its events and writes down its actions. */
+/**
+ * Runs instances of the decision module for a simulator: passes each the messages that are addressed to it
+ * and writes the actions that it takes. Each batch of messages carries one time and gets one line of output.
+ * In it, the actions that follow from consecutive messages to one instance form a group; messages without
+ * actions add nothing. Not thread-safe.
+ */
 final class SimulatorAdapter {
 
-    /** Bit of an inbound request's marks: the client says that it tries again. */
+    /** Bit of a request's flags: the client says that this is a retry of its own. */
     private static final int FLAG_CLIENT_RETRY = 2;
-    /** Bit of an inbound request's marks: its expected work is valid. */
+    /** Bit of a request's flags: the expected work is valid. */
     private static final int FLAG_EXPECTED_WORK_VALID = 1;
 
-    /** Where the values of a load report stand; -1 where they are not given. */
+    /** The indexes of a load report's values among those of a message; -1 for values that are not sent. */
     private record LoadFieldIndexes(int inFlightIndex, int queueIndex, int utilisationIndex) { }
 
+    /** A started instance of the decision module. */
     private record Instance(Balancer balancer, LoadFieldIndexes loadFieldIndexes) { }
 
     private final BatchReader reader;
@@ -38,9 +44,15 @@
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(1 << 14);
     private final JsonGenerator json;
     private final Map<Integer, Instance> instances = new HashMap<>();
+    /**
+     * Lists of servers by the id that the simulator gave them; shared by all instances. A list is kept until
+     * another comes with its id.
+     */
     private final Map<Long, List<Server>> serverLists = new HashMap<>();
     private final Actions actions = new ActionWriter();
+    /** The instance whose message is being handled, which the actions taken meanwhile belong to. */
     private int currentInstanceId;
+    /** Whether a group of the current instance was begun in the output and not ended. */
     private boolean groupOpen;
 
     SimulatorAdapter(InputStream in, OutputStream out) throws IOException {
@@ -50,7 +62,13 @@
         json.setRootValueSeparator(null);
     }
 
-    /** Answers batch after batch until the input ends. */
+    /**
+     * Handles batches until the input ends, and writes one line for each. Nothing is written for a batch that
+     * holds an invalid message.
+     *
+     * @throws IOException if the input cannot be read or the output cannot be written
+     * @throws InvalidInputException if a batch, a message or an instance's settings are invalid
+     */
     void serve() throws IOException, InvalidInputException {
         while (reader.readNext()) {
             json.writeStartObject();
@@ -128,6 +146,7 @@
         }
     }
 
+    /** Returns the instance that the message is for; it must have been started. */
     private Instance startedInstance(InputMessage message) throws InvalidInputException {
         Instance instance = instances.get(message.instanceId);
         if (instance == null) {
@@ -163,6 +182,7 @@
                 valueAt(loadValues, indexes.queueIndex()), valueAt(loadValues, indexes.utilisationIndex()));
     }
 
+    /** Returns the value at the index, or -1 (not given) if there is none. */
     private static double valueAt(double[] loadValues, int index) {
         return index < 0 || index >= loadValues.length ? -1 : loadValues[index];
     }
@@ -184,7 +204,7 @@
         List<Server> servers = serverLists.get(message.required(message.listId, "rosterId"));
         if (servers == null) {
             throw new InvalidInputException("line " + message.line + ": backendsChanged: catalog "
-                    + message.listId + " was not given");
+                    + message.listId + " was not received");
         }
         balancer.serversChanged(nowUs, kind, servers);
     }
@@ -204,6 +224,7 @@
         };
     }
 
+    /** Begins an action in the output, and before it the group of the current instance if none is open. */
     private void beginAction(String type) throws IOException {
         if (!groupOpen) {
             groupOpen = true;
@@ -221,7 +242,7 @@
         json.writeEndObject();
     }
 
-    /** Writes the actions of the instance that is deciding now. */
+    /** Writes the actions of the instance whose message is being handled. */
     private final class ActionWriter implements Actions {
 
         @Override
@@ -284,6 +305,7 @@
             write("trace", () -> json.writeStringField("what", text));
         }
 
+        /** Writes an action; the target is a buffer in memory, so an IOException is not expected. */
         private void write(String type, ActionFields fields) {
             try {
                 beginAction(type);
@@ -295,7 +317,7 @@
         }
     }
 
-    /** The fields of an action. */
+    /** Writes the fields of an action. */
     private interface ActionFields {
         void write() throws IOException;
     }
--- a/src/test/java/passhatch/adapter/SimulatorAdapterTest.java
+++ b/src/test/java/passhatch/adapter/SimulatorAdapterTest.java
@@ -13,9 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The wire both ways, and what it says of bad input. */
+/** The adapter command: input messages, output actions and the error messages for invalid input. */
 class SimulatorAdapterTest {
 
+    /** Settings of an instance, with a key that is not known. */
     private static final String SETTINGS = "{\"balancers\":2,\"layer\":0,\"layers\":[\"one\"],\"locality\":0,"
             + "\"novelty\":{\"x\":[1,{}]},\"resolutionUs\":1000,\"discovery\":\"on_request\","
             + "\"categories\":[{\"name\":\"read\",\"goalTimeUs\":200000,\"deadlineUs\":500000,\"worth\":1,"
@@ -24,6 +25,7 @@
             + "\"rules\":{\"drainGraceUs\":1,\"askEveryUs\":9000000,\"coldFrom\":0.5,\"coldUs\":5,"
             + "\"tipMultiple\":2,"
             + "\"overloadForUs\":5},\"fees\":{\"probe\":0.01}}";
+    /** Starts an instance and gives it a list of one server; some of the fields are not known. */
     private static final String START_MESSAGES =
             "{\"msg\":\"powerOn\",\"nonce64\":18446744073709551615,\"params\":"
             + SETTINGS
@@ -34,8 +36,10 @@
             "{\"msg\":\"inbound\",\"opId\":\"00ab\",\"profile\":0,\"billing\":null,"
             + "\"routeKey\":5,\"budgetUs\":400000,\"predictedUs\":null,\"marks\":0}";
 
+    /** The exit status and the output of one run of the command line. */
     private record RunResult(int status, List<String> outputLines, String errorText) { }
 
+    /** A line of input: a batch with messages to one instance. */
     private static String batch(long nowUs, int instanceId, String messages) {
         return "{\"atTimeUs\":" + nowUs + ",\"groups\":[{\"who\":" + instanceId + ",\"input\":[" + messages
                 + "]}]}\n";
