--- a/src/main/java/passhatch/proxy/BackendPool.java
+++ b/src/main/java/passhatch/proxy/BackendPool.java
@@ -51,20 +51,20 @@
 final class BackendPool {
 
     /** A backend that takes nothing of a body, or gives nothing of a long answer, for so long hangs. */
-    private static final long MOST_STALL_US = 4_000_000;
+    private static final long MAX_STALL_US = 4_000_000;
     /** An answer of unknown length is passed on as it comes once it takes longer than this. */
-    private static final long HOLD_MS = 150;
+    private static final long MAX_BUFFERING_MS = 150;
     /** An answer of unknown length that is slower than this by its deadline will not come to its end. */
-    private static final long LEAST_BYTES_A_SECOND = 16_000;
+    private static final long MIN_BYTES_PER_SECOND = 16_000;
     /** A pace is known after so long. */
-    private static final long LEAST_SEEN_US = 400_000;
+    private static final long MIN_OBSERVATION_US = 400_000;
     /** Bytes on their way to a peer beyond which no more are read for it. */
-    static final WriteBufferWaterMark WRITE_MARKS = new WriteBufferWaterMark(1 << 14, 1 << 15);
-    static final int MOST_READ = 1 << 15;
+    static final WriteBufferWaterMark WRITE_WATER_MARK = new WriteBufferWaterMark(1 << 14, 1 << 15);
+    static final int MAX_READ_BYTES = 1 << 15;
     /** Idle connections kept to one backend: more only fill its table. */
-    private static final int MOST_IDLE = 8;
+    private static final int MAX_IDLE_PER_BACKEND = 8;
     /** Part of the backends' idle time after which a connection is closed, before they may close it. */
-    private static final double IDLE_PART = 0.7;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
     /**
      * How a call ended.
@@ -72,7 +72,7 @@
      * @param body of a 200 answer, else null
      */
     record Result(Outcome outcome, byte[] body, LoadReport report) {
-        static Result without(Outcome outcome) {
+        static Result withoutBody(Outcome outcome) {
             return new Result(outcome, null, null);
         }
     }
@@ -98,11 +98,11 @@
         /**
          * Its answer is too long to be held, and begins.
          *
-         * @param length of the answer, or -1
-         * @param readOn called when more may be given after the sink was not writable
+         * @param lengthBytes of the answer, or -1
+         * @param resumeReading called when more may be given after the sink was not writable
          * @return where it goes; null where it is not wanted
          */
-        default AnswerSink streams(long length, Runnable readOn) {
+        default ResponseSink openSink(long lengthBytes, Runnable resumeReading) {
             return null;
         }
 
@@ -110,9 +110,9 @@
     }
 
     /** Where a long answer goes as it comes. */
-    interface AnswerSink {
+    interface ResponseSink {
         /** Takes bytes, and the duty to release them. */
-        void part(ByteBuf bytes);
+        void write(ByteBuf bytes);
 
         boolean isWritable();
 
@@ -120,7 +120,7 @@
         void end();
 
         /** It will not come to its end. */
-        void broken();
+        void fail();
     }
 
     /** A call that may be given up. */
@@ -129,29 +129,29 @@
         void cancel();
 
         /** Gives it so long from now. */
-        void expireIn(long us);
+        void setTimeout(long timeoutUs);
 
         /** Breaks an answer off that is passed on and will not come to its end soon. */
-        void breakOff();
+        void abortIfStalled();
     }
 
     /**
      * What to send.
      *
-     * @param message makes the message, when it can be written: whole, or the head for the body
+     * @param messageFactory makes the message, when it can be written: whole, or the head for the body
      * @param body what follows that head; null where the message is whole
-     * @param wanted asked just before it is written: false where it must not be sent any more
-     * @param written called once its last byte is written
+     * @param stillWanted asked just before it is written: false where it must not be sent any more
+     * @param onWritten called once its last byte is written
      * @param timeoutUs time that it has; {@link #NO_TIMEOUT} where that is not known yet
-     * @param timeout how it ends when its time is up after it was written
+     * @param timeoutOutcome how it ends when its time is up after it was written
      */
-    record Outgoing(Supplier<HttpRequest> message, RequestBody body, BooleanSupplier wanted,
-            Runnable written, long timeoutUs, Outcome timeout) {
+    record OutgoingRequest(Supplier<HttpRequest> messageFactory, RequestBody body,
+            BooleanSupplier stillWanted, Runnable onWritten, long timeoutUs, Outcome timeoutOutcome) {
 
         /** Something that is whole. */
-        Outgoing(Supplier<HttpRequest> message, BooleanSupplier wanted, Runnable written, long timeoutUs,
-                Outcome timeout) {
-            this(message, null, wanted, written, timeoutUs, timeout);
+        OutgoingRequest(Supplier<HttpRequest> messageFactory, BooleanSupplier stillWanted, Runnable onWritten,
+                long timeoutUs, Outcome timeoutOutcome) {
+            this(messageFactory, null, stillWanted, onWritten, timeoutUs, timeoutOutcome);
         }
     }
 
@@ -160,157 +160,159 @@
     private final EventLoop loop;
     private final Clock clock;
     private final EventLog log;
-    private final long idleUs;
-    private int mostOpen;
+    private final long maxIdleUs;
+    private int maxOpen;
     private final Bootstrap bootstrap;
-    private final Map<Target, Deque<Connection>> idle = new HashMap<>();
-    private final Set<Connection> open = new HashSet<>();
+    private final Map<Target, Deque<Connection>> idleConnections = new HashMap<>();
+    private final Set<Connection> openConnections = new HashSet<>();
 
     /**
      * A pool without connections.
      *
      * @param keepaliveUs after which backends close idle connections; 0 where none may be kept
-     * @param mostOpen connections at a time, so that descriptors are left for the callers
+     * @param maxOpen connections at a time, so that descriptors are left for the callers
      */
     BackendPool(EventLoop loop, Clock clock, EventLog log, long connectTimeoutUs, long keepaliveUs,
-            int mostOpen) {
+            int maxOpen) {
         this.loop = loop;
         this.clock = clock;
         this.log = log;
-        this.idleUs = (long) (keepaliveUs * IDLE_PART);
-        this.mostOpen = mostOpen;
+        this.maxIdleUs = (long) (keepaliveUs * IDLE_TIMEOUT_FRACTION);
+        this.maxOpen = maxOpen;
         this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_MARKS)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_WATER_MARK)
                 .option(ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator(64, 2048, MOST_READ))
+                        new AdaptiveRecvByteBufAllocator(64, 2048, MAX_READ_BYTES))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
                         (int) Math.max(1, TimeUnit.MICROSECONDS.toMillis(connectTimeoutUs)));
     }
 
     /** Holds to another number of connections from now on. */
-    void mostOpen(int most) {
-        mostOpen = most;
-        for (int over = open.size() - most; over > 0; over--) {
+    void setMaxOpen(int newMaxOpen) {
+        maxOpen = newMaxOpen;
+        for (int excess = openConnections.size() - newMaxOpen; excess > 0; excess--) {
             closeLongestIdle();
         }
     }
 
     /** Closes connections that backends might soon close themselves; to be called now and then. */
     void closeStale() {
-        long before = clock.nowUs() - idleUs;
-        for (Deque<Connection> at : idle.values()) {
-            while (!at.isEmpty() && at.peekLast().idleSinceUs <= before) {
-                at.pollLast().channel.close();
+        long idleSinceLimitUs = clock.nowUs() - maxIdleUs;
+        for (Deque<Connection> idleToTarget : idleConnections.values()) {
+            while (!idleToTarget.isEmpty() && idleToTarget.peekLast().idleSinceUs <= idleSinceLimitUs) {
+                idleToTarget.pollLast().channel.close();
             }
         }
-        idle.values().removeIf(Deque::isEmpty);
-        List.copyOf(open).forEach(c -> c.endIfStalled(clock.nowUs() - MOST_STALL_US));
+        idleConnections.values().removeIf(Deque::isEmpty);
+        List.copyOf(openConnections).forEach(connection ->
+                connection.closeIfStalled(clock.nowUs() - MAX_STALL_US));
     }
 
     /** Closes the idle connections to a backend. */
     void closeIdle(Target target) {
-        Deque<Connection> at = idle.remove(target);
-        if (at != null) {
-            at.forEach(c -> c.channel.close());
+        Deque<Connection> idleToTarget = idleConnections.remove(target);
+        if (idleToTarget != null) {
+            idleToTarget.forEach(connection -> connection.channel.close());
         }
     }
 
     /** Sends a message to a backend, on a kept connection if there is one. */
-    Handle send(Target target, Outgoing outgoing, Listener listener) {
-        Call call = new Call(outgoing, listener);
-        Connection kept = takeIdle(target);
-        if (kept == null && open.size() >= mostOpen) {
+    Handle send(Target target, OutgoingRequest request, Listener listener) {
+        PendingRequest pending = new PendingRequest(request, listener);
+        Connection reused = takeIdle(target);
+        if (reused == null && openConnections.size() >= maxOpen) {
             closeLongestIdle();
         }
-        if (kept == null && open.size() >= mostOpen) {
-            log.line(Kind.BACKEND, "no connection left for " + target.id() + ": " + open.size()
+        if (reused == null && openConnections.size() >= maxOpen) {
+            log.line(Kind.BACKEND, "no connection left for " + target.id() + ": " + openConnections.size()
                     + " are open");
-            loop.execute(() -> call.end(Result.without(Outcome.NOT_SENT)));
-            return call;
+            loop.execute(() -> pending.complete(Result.withoutBody(Outcome.NOT_SENT)));
+            return pending;
         }
-        if (outgoing.timeoutUs() != NO_TIMEOUT) {
-            call.expireIn(outgoing.timeoutUs());
+        if (request.timeoutUs() != NO_TIMEOUT) {
+            pending.setTimeout(request.timeoutUs());
         }
-        if (kept != null) {
-            kept.call = call;
-            call.connection = kept;
-            kept.write(call);
+        if (reused != null) {
+            reused.pending = pending;
+            pending.connection = reused;
+            reused.write(pending);
         } else {
-            connect(target, call);
+            connect(target, pending);
         }
-        return call;
+        return pending;
     }
 
     /** Frees a place for a connection that is needed now. */
     private void closeLongestIdle() {
-        Connection longest = null;
-        for (Deque<Connection> at : idle.values()) {
-            Connection c = at.peekLast();
-            if (c != null && (longest == null || c.idleSinceUs < longest.idleSinceUs)) {
-                longest = c;
+        Connection longestIdle = null;
+        for (Deque<Connection> idleToTarget : idleConnections.values()) {
+            Connection candidate = idleToTarget.peekLast();
+            if (candidate != null
+                    && (longestIdle == null || candidate.idleSinceUs < longestIdle.idleSinceUs)) {
+                longestIdle = candidate;
             }
         }
-        if (longest != null) {
-            idle.get(longest.target).remove(longest);
-            longest.channel.close();
+        if (longestIdle != null) {
+            idleConnections.get(longestIdle.target).remove(longestIdle);
+            longestIdle.channel.close();
         }
     }
 
     private Connection takeIdle(Target target) {
-        Deque<Connection> at = idle.get(target);
-        while (at != null && !at.isEmpty()) {
-            Connection c = at.pollFirst();
-            if (c.idleSinceUs > clock.nowUs() - idleUs && c.stands()) {
-                return c;
+        Deque<Connection> idleToTarget = idleConnections.get(target);
+        while (idleToTarget != null && !idleToTarget.isEmpty()) {
+            Connection connection = idleToTarget.pollFirst();
+            if (connection.idleSinceUs > clock.nowUs() - maxIdleUs && connection.isUsable()) {
+                return connection;
             }
-            c.channel.close();
+            connection.channel.close();
         }
         return null;
     }
 
-    private void connect(Target target, Call call) {
-        Connection c = new Connection(target);
-        c.call = call;
-        call.connection = c;
-        open.add(c);
+    private void connect(Target target, PendingRequest pending) {
+        Connection connection = new Connection(target);
+        connection.pending = pending;
+        pending.connection = connection;
+        openConnections.add(connection);
         ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
             @Override
             protected void initChannel(SocketChannel channel) {
-                channel.pipeline().addLast(c.handlers());
+                channel.pipeline().addLast(connection.handlers());
             }
         }).connect(target.address());
-        c.channel = connecting.channel();
+        connection.channel = connecting.channel();
         // Runs in a later step of the loop even where the connection fails at once.
-        connecting.addListener(done -> loop.execute(() -> {
-            if (done.isSuccess()) {
-                c.write(call);
+        connecting.addListener(connected -> loop.execute(() -> {
+            if (connected.isSuccess()) {
+                connection.write(pending);
             } else {
                 // Where no socket could be made there is a channel that never closes.
-                open.remove(c);
-                c.broken();
+                openConnections.remove(connection);
+                connection.onConnectionLost();
             }
         }));
-        c.channel.closeFuture().addListener(closed -> open.remove(c));
+        connection.channel.closeFuture().addListener(closed -> openConnections.remove(connection));
     }
 
     /** One call, from its start to its only result. */
-    private final class Call implements Handle {
-        final Outgoing outgoing;
+    private final class PendingRequest implements Handle {
+        final OutgoingRequest request;
         private final Listener listener;
         Connection connection;
-        Future<?> timeout;
+        Future<?> timeoutTask;
         /** All of the message has been handed to the network: from now on it may run. */
-        boolean written;
+        boolean fullyWritten;
         /** Its writing has begun: only now can there be an answer. */
-        boolean begun;
+        boolean writeStarted;
         boolean ended;
         /** The writing of its body, and where its long answer goes; null where there is none. */
         Upload upload;
-        AnswerSink sink;
+        ResponseSink sink;
 
-        Call(Outgoing outgoing, Listener listener) {
-            this.outgoing = outgoing;
+        PendingRequest(OutgoingRequest request, Listener listener) {
+            this.request = request;
             this.listener = listener;
         }
 
@@ -320,53 +322,53 @@
         }
 
         @Override
-        public void expireIn(long us) {
-            if (timeout != null) {
-                timeout.cancel(false);
+        public void setTimeout(long timeoutUs) {
+            if (timeoutTask != null) {
+                timeoutTask.cancel(false);
             }
             if (!ended && sink == null) {
-                timeout = loop.schedule(this::timeUp, Math.max(0, us), TimeUnit.MICROSECONDS);
+                timeoutTask = loop.schedule(this::onTimeout, Math.max(0, timeoutUs), TimeUnit.MICROSECONDS);
             }
         }
 
         @Override
-        public void breakOff() {
-            if (sink != null && connection.hangs()) {
-                giveUp(outgoing.timeout());
+        public void abortIfStalled() {
+            if (sink != null && connection.isShortOrStalled()) {
+                giveUp(request.timeoutOutcome());
             }
         }
 
-        private void timeUp() {
-            if (sink != null && connection.passed > ResponseReader.MAX_BUFFERED_BYTES) {
+        private void onTimeout() {
+            if (sink != null && connection.streamedBytes > ResponseReader.MAX_BUFFERED_BYTES) {
                 // It is long, and what has begun to be passed on goes on for as long as it moves.
                 return;
             }
-            if (sink != null && connection.mayGrowLong()) {
-                timeout = loop.schedule(this::timeUp, HOLD_MS, TimeUnit.MILLISECONDS);
+            if (sink != null && connection.isNewOrFastEnough()) {
+                timeoutTask = loop.schedule(this::onTimeout, MAX_BUFFERING_MS, TimeUnit.MILLISECONDS);
                 return;
             }
             // What was never written whole cannot run: the connection did not come up in time.
-            giveUp(written ? outgoing.timeout() : Outcome.CONNECT_FAILED);
+            giveUp(fullyWritten ? request.timeoutOutcome() : Outcome.CONNECT_FAILED);
         }
 
         void giveUp(Outcome outcome) {
             if (!ended) {
                 if (connection != null) {
-                    connection.call = null;
+                    connection.pending = null;
                     Channels.close(connection.channel);
                 }
-                end(Result.without(outcome));
+                complete(Result.withoutBody(outcome));
             }
         }
 
-        void end(Result result) {
+        void complete(Result result) {
             if (!ended) {
                 ended = true;
-                if (timeout != null) {
-                    timeout.cancel(false);
+                if (timeoutTask != null) {
+                    timeoutTask.cancel(false);
                 }
                 if (upload != null) {
-                    outgoing.body().detach(upload);
+                    request.body().detach(upload);
                 }
                 listener.done(result);
             }
@@ -375,24 +377,24 @@
 
     /** The writing of a body as it comes in. */
     private final class Upload implements RequestBody.Receiver {
-        private final Call call;
+        private final PendingRequest pending;
         private final Channel channel;
 
-        Upload(Call call, Channel channel) {
-            this.call = call;
+        Upload(PendingRequest pending, Channel channel) {
+            this.pending = pending;
             this.channel = channel;
         }
 
         @Override
         public void write(ByteBuf bytes) {
-            call.connection.movedUs = clock.nowUs();
+            pending.connection.lastProgressUs = clock.nowUs();
             channel.writeAndFlush(new DefaultHttpContent(bytes));
         }
 
         @Override
         public void end() {
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
-                    .addListener(call.connection.wrote(call));
+                    .addListener(pending.connection.writeListener(pending));
         }
 
         @Override
@@ -407,33 +409,34 @@
         private final ResponseDecoder decoder = new ResponseDecoder();
         private ResponseReader reader = new ResponseReader();
         /** The result of the call, until the loop has read all that came with the answer. */
-        private Result result;
+        private Result pendingResult;
         /** More has come than the answer. */
-        private boolean surplus;
+        private boolean hasSurplusBytes;
         /** It broke, and did not end: what came last is not whole. */
-        private boolean cut;
+        private boolean aborted;
         Channel channel;
-        Call call;
+        PendingRequest pending;
         long idleSinceUs;
         /** When bytes of a long body or answer last moved. */
-        long movedUs;
+        long lastProgressUs;
         /** Bytes of a long answer passed on, and since when they are. */
-        private long passed;
-        private long passedSinceUs;
+        private long streamedBytes;
+        private long streamingSinceUs;
 
         Connection(Target target) {
             this.target = target;
         }
 
         ChannelHandler[] handlers() {
-            return new ChannelHandler[] {new SurplusGuard(), decoder, new HttpRequestEncoder(), this};
+            return new ChannelHandler[] {new UnsolicitedBytesGuard(), decoder, new HttpRequestEncoder(),
+                    this};
         }
 
         /**
          * Whether it can carry a call. Its end, or a second answer to the call before, may have come in this
          * turn of the loop and lie unread: so what there is gets read first.
          */
-        boolean stands() {
+        boolean isUsable() {
             if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
                 socket.read();
             }
@@ -441,173 +444,175 @@
         }
 
         /** Writes the message, unless the call has been given up or must not go out any more. */
-        void write(Call toWrite) {
+        void write(PendingRequest toWrite) {
             if (toWrite.ended) {
                 channel.close();
             } else if (!channel.isActive()) {
-                broken();
-            } else if (!toWrite.outgoing.wanted().getAsBoolean()) {
-                call = null;
-                keep();
-                toWrite.end(Result.without(Outcome.NOT_SENT));
+                onConnectionLost();
+            } else if (!toWrite.request.stillWanted().getAsBoolean()) {
+                pending = null;
+                returnToPool();
+                toWrite.complete(Result.withoutBody(Outcome.NOT_SENT));
             } else {
-                toWrite.begun = true;
-                HttpRequest message = toWrite.outgoing.message().get();
+                toWrite.writeStarted = true;
+                HttpRequest message = toWrite.request.messageFactory().get();
                 if (message instanceof FullHttpRequest) {
-                    channel.writeAndFlush(message).addListener(wrote(toWrite));
+                    channel.writeAndFlush(message).addListener(writeListener(toWrite));
                 } else {
                     channel.write(message);
                     toWrite.upload = new Upload(toWrite, channel);
-                    toWrite.outgoing.body().attach(toWrite.upload);
+                    toWrite.request.body().attach(toWrite.upload);
                 }
             }
         }
 
         /** Hears that the last byte of a call was written. */
-        private ChannelFutureListener wrote(Call wrote) {
-            return done -> {
-                if (!done.isSuccess()) {
+        private ChannelFutureListener writeListener(PendingRequest written) {
+            return write -> {
+                if (!write.isSuccess()) {
                     abort();
-                } else if (!wrote.ended) {
-                    wrote.written = true;
-                    wrote.outgoing.written().run();
+                } else if (!written.ended) {
+                    written.fullyWritten = true;
+                    written.request.onWritten().run();
                 }
             };
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            if (call != null && call.upload != null && !call.written && channel.isWritable()) {
-                movedUs = clock.nowUs();
-                call.outgoing.body().resume();
+            if (pending != null && pending.upload != null && !pending.fullyWritten && channel.isWritable()) {
+                lastProgressUs = clock.nowUs();
+                pending.request.body().resume();
             }
         }
 
         /** Guards against a backend that hangs in the middle, where no time-out runs. */
-        void endIfStalled(long beforeUs) {
-            if (call == null || movedUs > beforeUs) {
+        void closeIfStalled(long progressLimitUs) {
+            if (pending == null || lastProgressUs > progressLimitUs) {
                 return;
             }
-            if (call.sink != null) {
+            if (pending.sink != null) {
                 if (channel.config().isAutoRead()) {
                     log.line(Kind.BACKEND, "a long answer from " + target.id() + " does not go on");
                     abort();
                 }
-            } else if (call.upload != null && !call.written && !channel.isWritable()) {
+            } else if (pending.upload != null && !pending.fullyWritten && !channel.isWritable()) {
                 log.line(Kind.BACKEND, "a body to " + target.id() + " is not taken");
-                call.giveUp(Outcome.CONNECT_FAILED);
+                pending.giveUp(Outcome.CONNECT_FAILED);
             }
         }
 
         /** Closes it in the middle: what is in of an answer that ends with its connection is not whole. */
         private void abort() {
-            cut = true;
+            aborted = true;
             channel.close();
         }
 
         /** The connection is gone: before the last byte was written the request cannot have run. */
-        void broken() {
-            if (result != null) {
+        void onConnectionLost() {
+            if (pendingResult != null) {
                 return;
             }
-            Call lost = call;
-            call = null;
-            if (lost != null) {
-                boolean mayHaveRun = lost.written || lost.sink != null;
-                lost.end(Result.without(mayHaveRun ? Outcome.RESET : Outcome.CONNECT_FAILED));
+            PendingRequest lostRequest = pending;
+            pending = null;
+            if (lostRequest != null) {
+                boolean mayHaveRun = lostRequest.fullyWritten || lostRequest.sink != null;
+                lostRequest.complete(Result.withoutBody(mayHaveRun ? Outcome.RESET : Outcome.CONNECT_FAILED));
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) throws IOException {
-            if (result != null) {
-                surplus = true;
+            if (pendingResult != null) {
+                hasSurplusBytes = true;
                 return;
             }
-            if (call == null || cut) {
+            if (pending == null || aborted) {
                 return;
             }
-            if (call.sink != null) {
-                passOn(part);
+            if (pending.sink != null) {
+                streamPart(part);
             } else {
-                boolean first = !reader.mayExceedBuffer();
-                result = reader.read(part);
-                if (result == null && reader.exceedsBuffer()) {
-                    stream();
-                } else if (result == null && first && reader.mayExceedBuffer()) {
-                    ResponseReader same = reader;
+                boolean bodyHadNotBegun = !reader.mayExceedBuffer();
+                pendingResult = reader.read(part);
+                if (pendingResult == null && reader.exceedsBuffer()) {
+                    startStreaming();
+                } else if (pendingResult == null && bodyHadNotBegun && reader.mayExceedBuffer()) {
+                    ResponseReader scheduledReader = reader;
                     loop.schedule(() -> {
-                        if (reader == same && result == null && call != null && call.sink == null) {
-                            stream();
+                        if (reader == scheduledReader && pendingResult == null && pending != null
+                                && pending.sink == null) {
+                            startStreaming();
                         }
-                    }, HOLD_MS, TimeUnit.MILLISECONDS);
+                    }, MAX_BUFFERING_MS, TimeUnit.MILLISECONDS);
                 }
             }
-            if (result != null) {
-                loop.execute(this::finish);
+            if (pendingResult != null) {
+                loop.execute(this::finishRequest);
             }
         }
 
         /** From now on the answer is its client's, as it comes. */
-        private void stream() {
-            AnswerSink sink = call.listener.streams(reader.contentLength(), this::readOn);
+        private void startStreaming() {
+            ResponseSink sink = pending.listener.openSink(reader.contentLength(), this::resumeReading);
             if (sink == null) {
-                call.giveUp(Outcome.CANCELLED);
+                pending.giveUp(Outcome.CANCELLED);
                 return;
             }
-            call.sink = sink;
-            byte[] held = reader.takeBufferedBody();
-            passed = held.length;
-            passedSinceUs = clock.nowUs();
+            pending.sink = sink;
+            byte[] buffered = reader.takeBufferedBody();
+            streamedBytes = buffered.length;
+            streamingSinceUs = clock.nowUs();
             // One that may turn out short is owed by its deadline, as all short ones are.
-            if (call.timeout != null && reader.contentLength() > ResponseReader.MAX_BUFFERED_BYTES) {
-                call.timeout.cancel(false);
+            if (pending.timeoutTask != null && reader.contentLength() > ResponseReader.MAX_BUFFERED_BYTES) {
+                pending.timeoutTask.cancel(false);
             }
-            pass(Unpooled.wrappedBuffer(held));
+            writeToSink(Unpooled.wrappedBuffer(buffered));
         }
 
         /** Whether its long answer has turned out short so far, or its backend gives no more of it. */
-        private boolean hangs() {
-            return Math.max(passed, reader.contentLength()) <= ResponseReader.MAX_BUFFERED_BYTES
-                    || channel.config().isAutoRead() && clock.nowUs() - movedUs > LEAST_SEEN_US;
+        private boolean isShortOrStalled() {
+            return Math.max(streamedBytes, reader.contentLength()) <= ResponseReader.MAX_BUFFERED_BYTES
+                    || channel.config().isAutoRead() && clock.nowUs() - lastProgressUs > MIN_OBSERVATION_US;
         }
 
         /** Whether an answer of unknown length comes at the pace of a long one, or has only just begun. */
-        private boolean mayGrowLong() {
-            long sinceUs = clock.nowUs() - passedSinceUs;
-            return sinceUs < LEAST_SEEN_US || passed * 1_000_000 / sinceUs >= LEAST_BYTES_A_SECOND;
+        private boolean isNewOrFastEnough() {
+            long sinceUs = clock.nowUs() - streamingSinceUs;
+            return sinceUs < MIN_OBSERVATION_US
+                    || streamedBytes * 1_000_000 / sinceUs >= MIN_BYTES_PER_SECOND;
         }
 
-        private void passOn(HttpObject part) {
+        private void streamPart(HttpObject part) {
             if (part.decoderResult().isFailure()) {
                 abort();
                 return;
             }
             if (part instanceof HttpContent content && content.content().isReadable()) {
-                passed += content.content().readableBytes();
-                if (passed > ResponseReader.MAX_BODY_BYTES) {
+                streamedBytes += content.content().readableBytes();
+                if (streamedBytes > ResponseReader.MAX_BODY_BYTES) {
                     log.line(Kind.BACKEND, "an answer from " + target.id() + " does not come to an end");
                     abort();
                     return;
                 }
-                pass(content.content().retain());
+                writeToSink(content.content().retain());
             }
-            if (part instanceof LastHttpContent && call != null) {
-                call.sink.end();
-                result = Result.without(Outcome.OK);
+            if (part instanceof LastHttpContent && pending != null) {
+                pending.sink.end();
+                pendingResult = Result.withoutBody(Outcome.OK);
             }
         }
 
-        private void pass(ByteBuf bytes) {
-            movedUs = clock.nowUs();
-            call.sink.part(bytes);
-            if (call != null && !call.sink.isWritable()) {
+        private void writeToSink(ByteBuf bytes) {
+            lastProgressUs = clock.nowUs();
+            pending.sink.write(bytes);
+            if (pending != null && !pending.sink.isWritable()) {
                 channel.config().setAutoRead(false);
             }
         }
 
-        private void readOn() {
-            movedUs = clock.nowUs();
+        private void resumeReading() {
+            lastProgressUs = clock.nowUs();
             channel.config().setAutoRead(true);
         }
 
@@ -616,66 +621,67 @@
          * of another request: what stands behind an answer must have come in before the connection carries
          * the next call, or it would pass for the answer to that one.
          */
-        private void finish() {
-            Call answered = call;
-            Result given = result;
-            call = null;
-            result = null;
-            if (answered == null) {
+        private void finishRequest() {
+            PendingRequest finished = pending;
+            Result result = pendingResult;
+            pending = null;
+            pendingResult = null;
+            if (finished == null) {
                 return;
             }
-            if (given.outcome() == Outcome.OK && !answered.written && answered.sink == null) {
+            if (result.outcome() == Outcome.OK && !finished.fullyWritten && finished.sink == null) {
                 // No backend starts on a request before it has all: nobody knows whose answer this is.
-                given = Result.without(Outcome.ERROR);
+                result = Result.withoutBody(Outcome.ERROR);
             }
-            boolean clean = !surplus && !decoder.hasUndecodedBytes() && answered.written
+            boolean reusable = !hasSurplusBytes && !decoder.hasUndecodedBytes() && finished.fullyWritten
                     && reader.isKeepAlive();
             reader = new ResponseReader();
-            if (clean && channel.isActive()) {
+            if (reusable && channel.isActive()) {
                 channel.config().setAutoRead(true);
-                keep();
+                returnToPool();
             } else {
                 channel.close();
             }
-            answered.end(given);
+            finished.complete(result);
         }
 
-        private void keep() {
+        private void returnToPool() {
             idleSinceUs = clock.nowUs();
-            Deque<Connection> at = idle.computeIfAbsent(target, t -> new ArrayDeque<>());
-            at.addFirst(this);
-            if (at.size() > MOST_IDLE || idleUs <= 0) {
-                at.pollLast().channel.close();
+            Deque<Connection> idleToTarget = idleConnections
+                    .computeIfAbsent(target, absent -> new ArrayDeque<>());
+            idleToTarget.addFirst(this);
+            if (idleToTarget.size() > MAX_IDLE_PER_BACKEND || maxIdleUs <= 0) {
+                idleToTarget.pollLast().channel.close();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            Deque<Connection> at = idle.get(target);
-            if (at != null) {
-                at.remove(this);
+            Deque<Connection> idleToTarget = idleConnections.get(target);
+            if (idleToTarget != null) {
+                idleToTarget.remove(this);
             }
-            broken();
+            onConnectionLost();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            cut = true;
+            aborted = true;
             log.line(Kind.BACKEND, "connection to " + target.address() + ": " + cause);
             ctx.close();
         }
 
         /** Sees bytes before they are decoded: none may come where no answer is owed. */
-        private final class SurplusGuard extends ChannelInboundHandlerAdapter {
+        private final class UnsolicitedBytesGuard extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                if (result == null && call != null && call.begun) {
+                if (pendingResult == null && pending != null && pending.writeStarted) {
                     ctx.fireChannelRead(bytes);
                     return;
                 }
                 ReferenceCountUtil.release(bytes);
-                surplus = true;
-                if (result == null) {
+                hasSurplusBytes = true;
+                if (pendingResult == null) {
                     log.line(Kind.BACKEND, "bytes from " + target.address() + " that nothing asked for");
                     ctx.close();
                 }
--- a/src/main/java/passhatch/proxy/ClientConnection.java
+++ b/src/main/java/passhatch/proxy/ClientConnection.java
@@ -80,7 +80,7 @@
         }
 
         @Override
-        public BackendPool.AnswerSink startStream(long length, Runnable readOn) {
+        public BackendPool.ResponseSink startStream(long length, Runnable readOn) {
             responseStream = new ResponseStream(connection.channel, head.protocolVersion(), length, readOn,
                     this);
             connection.writeResponses();
@@ -547,7 +547,7 @@
             server.proxy().clientGone(request.activeId);
         }
         if (request.responseStream != null) {
-            request.responseStream.broken();
+            request.responseStream.fail();
         } else if (request.response == null) {
             request.respond(ProxyResponse.withStatus(status));
         }
--- a/src/main/java/passhatch/proxy/ClientServer.java
+++ b/src/main/java/passhatch/proxy/ClientServer.java
@@ -93,7 +93,7 @@
         ServerBootstrap bootstrap = new ServerBootstrap().group(loop).channelFactory(SharedListener::new)
                 .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BackendPool.WRITE_MARKS)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, BackendPool.WRITE_WATER_MARK)
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, readUntilEmpty())
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -115,7 +115,7 @@
 
     /** Reads until no bytes are left: a request may be followed by the client's close. */
     private static RecvByteBufAllocator readUntilEmpty() {
-        return new AdaptiveRecvByteBufAllocator(64, 2048, BackendPool.MOST_READ)
+        return new AdaptiveRecvByteBufAllocator(64, 2048, BackendPool.MAX_READ_BYTES)
                 .respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_LOOP);
     }
 
--- a/src/main/java/passhatch/proxy/Discovery.java
+++ b/src/main/java/passhatch/proxy/Discovery.java
@@ -38,53 +38,53 @@
  */
 final class Discovery {
 
-    private static final long FIRST_PAUSE_MS = 50;
-    private static final long LONGEST_PAUSE_MS = 500;
+    private static final long INITIAL_RETRY_DELAY_MS = 50;
+    private static final long MAX_RETRY_DELAY_MS = 500;
     /** A call may have to wait for others; after this it is given up. */
-    static final long ANSWER_MS = 4_500;
+    static final long RESPONSE_TIMEOUT_MS = 4_500;
     /**
      * An empty line comes every 2 s, so a watch that has begun and misses one by a second is dead. What it
      * misses counts as told 6 s after it fell silent: that has to hold the time of a second watch too.
      */
-    static final long SILENCE_MS = 3_000;
+    static final long WATCH_IDLE_TIMEOUT_MS = 3_000;
     /** A pause within a list that is longer than this means that its rest will not come. */
-    private static final long REST_MS = 500;
+    private static final long PARTIAL_LIST_TIMEOUT_MS = 500;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     /**
      * Where the module does the asking, a call is made so long after one that failed, if it has made none: a
      * change counts as told 6 s after discovery could be reached, however long it was down before. It is
      * longer than the longest pause of the module.
      */
-    private static final long LONGEST_ASK_PAUSE_MS = 2_600;
+    private static final long MAX_MODULE_RETRY_DELAY_MS = 2_600;
     /** Pauses are drawn between this part of their length and the whole, so that proxies spread out. */
-    private static final double LEAST_PART_OF_PAUSE = 0.5;
+    private static final double MIN_DELAY_FRACTION = 0.5;
     /** What is longer than this is no list of backends. */
-    private static final int LONGEST_OBJECT = 1 << 22;
+    private static final int MAX_OBJECT_BYTES = 1 << 22;
 
     /** Hears what discovery says. */
     interface Listener {
-        void listed(EndpointList list);
+        void onServerList(EndpointList list);
 
         /** The call or the watch failed. */
-        void failed(DiscoveryFailure how);
+        void onDiscoveryFailure(DiscoveryFailure failure);
     }
 
     private final EventLoop loop;
     private final EventLog log;
     private final List<String> zones;
-    private final List<String> models;
-    private final boolean onRequest;
+    private final List<String> machineTypes;
+    private final boolean moduleRequestsWatches;
     private final Listener listener;
     private InetSocketAddress address;
-    private long index;
-    private boolean whole;
-    private long pauseMs = FIRST_PAUSE_MS;
+    private long lastIndex;
+    private boolean needsFullList;
+    private long retryDelayMs = INITIAL_RETRY_DELAY_MS;
     private boolean stopped;
-    private Watch current;
+    private CallHandler currentCall;
     /** The watch of the address before, until the present one speaks. */
-    private Watch previous;
+    private CallHandler previousCall;
     /** The next call; there is one timer at most, so calls that fail do not multiply. */
-    private Future<?> next;
+    private Future<?> scheduledCall;
     private final SplittableRandom random;
     private final DiscoveryCalls calls;
 
@@ -94,13 +94,13 @@
         this.calls = new DiscoveryCalls(clock, log);
         this.random = new SplittableRandom(config.seed());
         this.zones = config.zones();
-        this.models = config.machineTypes();
+        this.machineTypes = config.machineTypes();
         this.address = config.discovery();
         this.listener = listener;
-        this.onRequest = config.settings().watch();
-        this.index = config.cachedList().index();
+        this.moduleRequestsWatches = config.settings().watch();
+        this.lastIndex = config.cachedList().index();
         // A list of version 0 is one to go on from, unless it is none.
-        this.whole = index == 0 && config.cachedList().endpoints().isEmpty();
+        this.needsFullList = lastIndex == 0 && config.cachedList().endpoints().isEmpty();
     }
 
     DiscoveryCalls calls() {
@@ -108,58 +108,60 @@
     }
 
     /** Starts a watch unless there is one; one that ends is taken up again. */
-    void watch() {
-        if (stopped || current != null && !current.isOver) {
+    void ensureWatching() {
+        if (stopped || currentCall != null && !currentCall.isOver) {
             return;
         }
-        cancelNext();
-        boolean fetch = whole;
-        String path = fetch ? "/v1/endpoints" : "/v1/endpoints?watch=1&from=" + index;
-        Watch watch = new Watch(fetch, calls.begin(fetch ? "list" : "watch from " + index));
+        cancelScheduledCall();
+        boolean fetchFullList = needsFullList;
+        String path = fetchFullList ? "/v1/endpoints" : "/v1/endpoints?watch=1&from=" + lastIndex;
+        CallHandler handler = new CallHandler(fetchFullList,
+                calls.begin(fetchFullList ? "list" : "watch from " + lastIndex));
         Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), silentFor(ANSWER_MS), watch);
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline().addLast(new HttpClientCodec(), readTimeout(RESPONSE_TIMEOUT_MS),
+                                handler);
                     }
                 });
-        current = watch;
-        watch.channel = bootstrap.connect(address).addListener((ChannelFuture done) -> {
-            if (done.isSuccess()) {
-                DefaultFullHttpRequest get = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                        path);
-                get.headers().set(HttpHeaderNames.HOST, "discovery");
-                done.channel().writeAndFlush(get);
+        currentCall = handler;
+        handler.channel = bootstrap.connect(address).addListener((ChannelFuture connecting) -> {
+            if (connecting.isSuccess()) {
+                DefaultFullHttpRequest request =
+                        new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
+                request.headers().set(HttpHeaderNames.HOST, "discovery");
+                connecting.channel().writeAndFlush(request);
             } else if (loop.inEventLoop()) {
-                notConnected(watch, done.cause());
+                onConnectFailed(handler, connecting.cause());
             } else {
-                loop.execute(() -> notConnected(watch, done.cause()));
+                loop.execute(() -> onConnectFailed(handler, connecting.cause()));
             }
         }).channel();
         // A connection that does not come up is closed before it is told why.
-        watch.channel.closeFuture().addListener(closed -> loop.execute(() -> over(watch)));
+        handler.channel.closeFuture().addListener(closed -> loop.execute(() -> finish(handler)));
     }
 
     /** Where no socket could be made there is a channel that never closes: the call is over here. */
-    private void notConnected(Watch watch, Throwable cause) {
-        watch.call.endsBy(DiscoveryCalls.End.NOT_CONNECTED);
+    private void onConnectFailed(CallHandler handler, Throwable cause) {
+        handler.call.setEndIfUnset(DiscoveryCalls.End.NOT_CONNECTED);
         log.line(Kind.DISCOVERY, "discovery: " + cause.getMessage());
-        over(watch);
+        finish(handler);
     }
 
     /** A call is over, whichever sign of it comes first. */
-    private void over(Watch watch) {
-        if (!watch.isOver) {
-            watch.isOver = true;
-            calls.ended(watch.call);
-            ended(watch);
+    private void finish(CallHandler handler) {
+        if (!handler.isOver) {
+            handler.isOver = true;
+            calls.recordEnd(handler.call);
+            continueAfter(handler);
         }
     }
 
-    private static ReadTimeoutHandler silentFor(long ms) {
-        return new ReadTimeoutHandler(ms, TimeUnit.MILLISECONDS);
+    private static ReadTimeoutHandler readTimeout(long timeoutMs) {
+        return new ReadTimeoutHandler(timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -167,125 +169,126 @@
      * the whole list first. The list held stays until it speaks, and so does the old watch: what that one
      * still tells would else be lost to this proxy, though it was told.
      */
-    void moveTo(InetSocketAddress other) {
-        if (stopped || other.equals(address)) {
+    void switchTo(InetSocketAddress newAddress) {
+        if (stopped || newAddress.equals(address)) {
             return;
         }
-        address = other;
-        index = 0;
-        whole = true;
-        pauseMs = FIRST_PAUSE_MS;
-        cancelNext();
-        if (current != null && current.heard) {
-            endPrevious();
-            previous = current;
-        } else if (current != null) {
-            Channels.close(current.channel);
+        address = newAddress;
+        lastIndex = 0;
+        needsFullList = true;
+        retryDelayMs = INITIAL_RETRY_DELAY_MS;
+        cancelScheduledCall();
+        if (currentCall != null && currentCall.hasReceivedMessage) {
+            closePreviousCall();
+            previousCall = currentCall;
+        } else if (currentCall != null) {
+            Channels.close(currentCall.channel);
         }
-        current = null;
-        if (onRequest) {
-            askAgain(DiscoveryFailure.UNANSWERED);
+        currentCall = null;
+        if (moduleRequestsWatches) {
+            reportFailure(DiscoveryFailure.UNANSWERED);
         } else {
-            watch();
+            ensureWatching();
         }
     }
 
     void stop() {
         stopped = true;
-        cancelNext();
-        endPrevious();
-        if (current != null) {
-            Channels.close(current.channel);
+        cancelScheduledCall();
+        closePreviousCall();
+        if (currentCall != null) {
+            Channels.close(currentCall.channel);
         }
     }
 
-    private void endPrevious() {
-        if (previous != null) {
-            Channels.close(previous.channel);
-            previous = null;
+    private void closePreviousCall() {
+        if (previousCall != null) {
+            Channels.close(previousCall.channel);
+            previousCall = null;
         }
     }
 
-    private void ended(Watch watch) {
-        if (stopped || watch != current) {
+    private void continueAfter(CallHandler handler) {
+        if (stopped || handler != currentCall) {
             return;
         }
-        if (watch.fetched) {
-            watch();
+        if (handler.hasFetchedFullList) {
+            ensureWatching();
             return;
         }
-        if (onRequest) {
-            askAgain(watch.call.wasTurnedAway() ? DiscoveryFailure.REFUSED : DiscoveryFailure.UNANSWERED);
+        if (moduleRequestsWatches) {
+            reportFailure(handler.call.wasRefused() ? DiscoveryFailure.REFUSED : DiscoveryFailure.UNANSWERED);
             return;
         }
-        callIn((long) (pauseMs * (LEAST_PART_OF_PAUSE + (1 - LEAST_PART_OF_PAUSE) * random.nextDouble())));
-        pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+        scheduleCall((long) (retryDelayMs
+                * (MIN_DELAY_FRACTION + (1 - MIN_DELAY_FRACTION) * random.nextDouble())));
+        retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
     }
 
     /** The module hears of it and says when to ask again, within a limit. */
-    private void askAgain(DiscoveryFailure how) {
-        callIn(LONGEST_ASK_PAUSE_MS);
-        listener.failed(how);
+    private void reportFailure(DiscoveryFailure failure) {
+        scheduleCall(MAX_MODULE_RETRY_DELAY_MS);
+        listener.onDiscoveryFailure(failure);
     }
 
-    private void callIn(long ms) {
-        cancelNext();
-        next = loop.schedule(this::watch, ms, TimeUnit.MILLISECONDS);
+    private void scheduleCall(long delayMs) {
+        cancelScheduledCall();
+        scheduledCall = loop.schedule(this::ensureWatching, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void cancelNext() {
-        if (next != null) {
-            next.cancel(false);
-            next = null;
+    private void cancelScheduledCall() {
+        if (scheduledCall != null) {
+            scheduledCall.cancel(false);
+            scheduledCall = null;
         }
     }
 
     /** One answer of discovery: objects of JSON one after the other, or one whole list. */
-    private final class Watch extends SimpleChannelInboundHandler<HttpObject>
-            implements ObjectSplitter.Listener {
-        private final boolean fetch;
-        private final ObjectSplitter objects = new ObjectSplitter(LONGEST_OBJECT, this);
+    private final class CallHandler extends SimpleChannelInboundHandler<HttpObject>
+            implements JsonObjectSplitter.Listener {
+        private final boolean fetchFullList;
+        private final JsonObjectSplitter splitter = new JsonObjectSplitter(MAX_OBJECT_BYTES, this);
         /** Waits for the rest of a list; null where none is coming in. */
-        private Future<?> rest;
-        private boolean ok;
-        private boolean heard;
+        private Future<?> partialListTimeout;
+        private boolean isStatusOk;
+        private boolean hasReceivedMessage;
         private Channel channel;
-        private boolean fetched;
+        private boolean hasFetchedFullList;
         private boolean isOver;
         private final DiscoveryCalls.Call call;
 
-        Watch(boolean fetch, DiscoveryCalls.Call call) {
-            this.fetch = fetch;
+        CallHandler(boolean fetchFullList, DiscoveryCalls.Call call) {
+            this.fetchFullList = fetchFullList;
             this.call = call;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-            if (!isHeard()) {
+            if (!isCurrentOrPrevious()) {
                 return;
             }
             if (message instanceof HttpResponse response) {
-                ok = response.status().equals(HttpResponseStatus.OK);
-                if (!ok) {
-                    call.endsBy(DiscoveryCalls.End.TURNED_AWAY);
+                isStatusOk = response.status().equals(HttpResponseStatus.OK);
+                if (!isStatusOk) {
+                    call.setEndIfUnset(DiscoveryCalls.End.TURNED_AWAY);
                     log.line(Kind.DISCOVERY, "discovery answered " + response.status());
                     // It may no longer know the version asked for.
-                    whole |= response.status().code() < 500;
+                    needsFullList |= response.status().code() < 500;
                     ctx.close();
                     return;
                 }
-                ctx.pipeline().replace(ReadTimeoutHandler.class, null, silentFor(SILENCE_MS));
+                ctx.pipeline().replace(ReadTimeoutHandler.class, null, readTimeout(WATCH_IDLE_TIMEOUT_MS));
             }
-            if (ok && message instanceof HttpContent content) {
-                if (!objects.add(content.content())) {
-                    call.endsBy(DiscoveryCalls.End.CLOSED_HERE);
+            if (isStatusOk && message instanceof HttpContent content) {
+                if (!splitter.add(content.content())) {
+                    call.setEndIfUnset(DiscoveryCalls.End.CLOSED_HERE);
                     log.line(Kind.DISCOVERY, "discovery: a list does not come to an end");
                     ctx.close();
                     return;
                 }
-                expectRest(ctx);
+                restartPartialListTimeout(ctx);
                 if (message instanceof LastHttpContent) {
-                    objects.end();
+                    splitter.end();
                     ctx.close();
                 }
             }
@@ -295,69 +298,69 @@
          * Guards against a watch that breaks off within a list: what discovery wrote counts as told from then
          * on, so the silence between lines is too long to wait for the rest. It was written in one go.
          */
-        private void expectRest(ChannelHandlerContext ctx) {
-            if (rest != null) {
-                rest.cancel(false);
+        private void restartPartialListTimeout(ChannelHandlerContext ctx) {
+            if (partialListTimeout != null) {
+                partialListTimeout.cancel(false);
             }
-            rest = !objects.isWithin() ? null : loop.schedule(() -> {
-                call.endsBy(DiscoveryCalls.End.SILENT);
+            partialListTimeout = !splitter.isInsideObject() ? null : loop.schedule(() -> {
+                call.setEndIfUnset(DiscoveryCalls.End.SILENT);
                 log.line(Kind.DISCOVERY, "discovery: the rest of a list does not come");
                 ctx.close();
-            }, REST_MS, TimeUnit.MILLISECONDS);
+            }, PARTIAL_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
-        private boolean isHeard() {
-            return this == current || this == previous;
+        private boolean isCurrentOrPrevious() {
+            return this == currentCall || this == previousCall;
         }
 
         /** A watch with nothing to tell says so by an empty line: the list held is up to date. */
         @Override
-        public void emptyLine() {
-            if (isHeard()) {
-                calls.heard();
+        public void onEmptyLine() {
+            if (isCurrentOrPrevious()) {
+                calls.recordMessage();
             }
-            if (!heard && !fetch && this == current) {
-                heard = true;
-                listener.listed(new EndpointList(index, false, List.of()));
+            if (!hasReceivedMessage && !fetchFullList && this == currentCall) {
+                hasReceivedMessage = true;
+                listener.onServerList(new EndpointList(lastIndex, false, List.of()));
             }
         }
 
         @Override
-        public void noise(String line) {
-            skipped("it is no JSON object");
+        public void onInvalidLine(String line) {
+            logSkippedLine("it is no JSON object");
         }
 
-        private void skipped(String why) {
-            log.line(Kind.DISCOVERY, "discovery: a line is skipped: " + why);
+        private void logSkippedLine(String reason) {
+            log.line(Kind.DISCOVERY, "discovery: a line is skipped: " + reason);
         }
 
         @Override
-        public void object(String json) {
-            if (!isHeard()) {
+        public void onObject(String json) {
+            if (!isCurrentOrPrevious()) {
                 return;
             }
             EndpointList list;
             try {
-                list = EndpointList.of(JSON.std.mapFrom(json), zones, models);
-            } catch (IOException | IllegalArgumentException bad) {
-                skipped(bad.getMessage().lines().findFirst().orElse(""));
+                list = EndpointList.parse(JSON.std.mapFrom(json), zones, machineTypes);
+            } catch (IOException | IllegalArgumentException malformed) {
+                logSkippedLine(malformed.getMessage().lines().findFirst().orElse(""));
                 return;
             }
-            heard = true;
-            calls.heard();
-            calls.took(call, list);
-            if (this == previous) {
-                listener.listed(list);
+            hasReceivedMessage = true;
+            calls.recordMessage();
+            calls.recordList(call, list);
+            if (this == previousCall) {
+                listener.onServerList(list);
                 return;
             }
-            endPrevious();
-            index = list.index();
-            whole = false;
-            fetched = fetch;
-            pauseMs = FIRST_PAUSE_MS;
-            listener.listed(list);
-            if (fetch) {
-                call.endsBy(DiscoveryCalls.End.ANSWERED);
+            closePreviousCall();
+            lastIndex = list.index();
+            needsFullList = false;
+            hasFetchedFullList = fetchFullList;
+            retryDelayMs = INITIAL_RETRY_DELAY_MS;
+            listener.onServerList(list);
+            if (fetchFullList) {
+                call.setEndIfUnset(DiscoveryCalls.End.ANSWERED);
                 // All that was asked for is in, and its end may never come: until then there is no watch.
                 channel.close();
             }
@@ -365,7 +368,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            call.endsBy(cause instanceof ReadTimeoutException ? DiscoveryCalls.End.SILENT
+            call.setEndIfUnset(cause instanceof ReadTimeoutException ? DiscoveryCalls.End.SILENT
                     : DiscoveryCalls.End.BROKEN);
             log.line(Kind.DISCOVERY, "discovery: " + cause);
             ctx.close();
--- a/src/main/java/passhatch/proxy/DiscoveryCalls.java
+++ b/src/main/java/passhatch/proxy/DiscoveryCalls.java
@@ -14,7 +14,7 @@
 final class DiscoveryCalls {
 
     /** Servers that a log line on a list names at most. */
-    private static final int MOST_NAMED = 12;
+    private static final int MAX_NAMED_SERVERS = 12;
     private static final long MICROS_PER_MILLI = 1_000;
 
     /** How a call ended. */
@@ -47,13 +47,13 @@
         }
 
         /** Notes how the call ends; the first reason stands, as the others follow from it. */
-        void endsBy(End how) {
+        void setEndIfUnset(End newEnd) {
             if (end == null) {
-                end = how;
+                end = newEnd;
             }
         }
 
-        boolean wasTurnedAway() {
+        boolean wasRefused() {
             return end == End.TURNED_AWAY;
         }
 
@@ -65,79 +65,79 @@
 
     private final Clock clock;
     private final EventLog log;
-    private final Map<End, Long> ended = new EnumMap<>(End.class);
-    private final Map<ServerStatus, Long> changes = new EnumMap<>(ServerStatus.class);
-    private long calls;
-    private long failuresInRow;
-    private long heardUs;
+    private final Map<End, Long> callsByEnd = new EnumMap<>(End.class);
+    private final Map<ServerStatus, Long> serversByStatus = new EnumMap<>(ServerStatus.class);
+    private long callCount;
+    private long consecutiveFailures;
+    private long lastMessageUs;
 
     DiscoveryCalls(Clock clock, EventLog log) {
         this.clock = clock;
         this.log = log;
-        this.heardUs = clock.nowUs();
+        this.lastMessageUs = clock.nowUs();
     }
 
     Call begin(String request) {
-        return new Call(++calls, request, clock.nowUs());
+        return new Call(++callCount, request, clock.nowUs());
     }
 
     /** A list, a change or a sign of life has come in. */
-    void heard() {
-        heardUs = clock.nowUs();
-        failuresInRow = 0;
+    void recordMessage() {
+        lastMessageUs = clock.nowUs();
+        consecutiveFailures = 0;
     }
 
     /** How long ago discovery last spoke, or this process started. */
-    long silentUs() {
-        return clock.nowUs() - heardUs;
+    long sinceLastMessageUs() {
+        return clock.nowUs() - lastMessageUs;
     }
 
-    long failuresInRow() {
-        return failuresInRow;
+    long consecutiveFailures() {
+        return consecutiveFailures;
     }
 
-    void ended(Call call) {
-        call.endsBy(End.BROKEN);
-        ended.merge(call.end, 1L, Long::sum);
+    void recordEnd(Call call) {
+        call.setEndIfUnset(End.BROKEN);
+        callsByEnd.merge(call.end, 1L, Long::sum);
         if (call.end != End.ANSWERED) {
-            failuresInRow++;
+            consecutiveFailures++;
         }
         log.line(Kind.DISCOVERY, call + " ended: " + call.end + " after "
-                + millis(clock.nowUs() - call.startedUs) + " ms; " + failuresInRow
-                + " failed in a row, last heard " + millis(silentUs()) + " ms ago");
+                + toMillis(clock.nowUs() - call.startedUs) + " ms; " + consecutiveFailures
+                + " failed in a row, last heard " + toMillis(sinceLastMessageUs()) + " ms ago");
     }
 
     /** A list was taken in. */
-    void took(Call call, EndpointList list) {
-        StringBuilder named = new StringBuilder();
+    void recordList(Call call, EndpointList list) {
+        StringBuilder names = new StringBuilder();
         List<Server> servers = list.servers();
-        int shown = 0;
+        int changedCount = 0;
         for (Server server : servers) {
-            changes.merge(server.status(), 1L, Long::sum);
-            if (!list.whole() && shown++ < MOST_NAMED) {
-                named.append(' ').append(server.id()).append('=').append(server.status());
+            serversByStatus.merge(server.status(), 1L, Long::sum);
+            if (!list.full() && changedCount++ < MAX_NAMED_SERVERS) {
+                names.append(' ').append(server.id()).append('=').append(server.status());
             }
         }
-        log.line(Kind.DISCOVERY, call + " told list " + list.index() + (list.whole() ? " (whole): " : ": ")
-                + servers.size() + " servers" + named + (shown > MOST_NAMED ? " ..." : ""));
+        log.line(Kind.DISCOVERY, call + " told list " + list.index() + (list.full() ? " (whole): " : ": ")
+                + servers.size() + " servers" + names + (changedCount > MAX_NAMED_SERVERS ? " ..." : ""));
     }
 
     /** Adds the metrics, one a line. */
-    void metrics(Metrics.Sink lines) {
-        lines.add("discovery_calls", calls);
-        for (End how : End.values()) {
-            lines.add("discovery_ended." + Metrics.lowerCase(how),
-                    ended.getOrDefault(how, 0L));
+    void addMetrics(Metrics.Sink lines) {
+        lines.add("discovery_calls", callCount);
+        for (End end : End.values()) {
+            lines.add("discovery_ended." + Metrics.lowerCase(end),
+                    callsByEnd.getOrDefault(end, 0L));
         }
         for (ServerStatus status : ServerStatus.values()) {
             lines.add("servers_told." + Metrics.lowerCase(status),
-                    changes.getOrDefault(status, 0L));
+                    serversByStatus.getOrDefault(status, 0L));
         }
-        lines.add("discovery_failures_in_row", failuresInRow);
-        lines.add("discovery_silent_ms", millis(silentUs()));
+        lines.add("discovery_failures_in_row", consecutiveFailures);
+        lines.add("discovery_silent_ms", toMillis(sinceLastMessageUs()));
     }
 
-    private static long millis(long us) {
+    private static long toMillis(long us) {
         return us / MICROS_PER_MILLI;
     }
 }
--- a/src/main/java/passhatch/proxy/EndpointList.java
+++ b/src/main/java/passhatch/proxy/EndpointList.java
@@ -11,9 +11,9 @@
  * One message of discovery.
  *
  * @param index its version
- * @param whole true where it holds the whole list, false where it holds changes
+ * @param full true where it holds the whole list, false where it holds changes
  */
-record EndpointList(long index, boolean whole, List<Endpoint> endpoints) {
+record EndpointList(long index, boolean full, List<Endpoint> endpoints) {
 
     static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
@@ -30,33 +30,35 @@
      * @throws IllegalArgumentException where any of it is malformed: half a list would pass off the backends
      *     that it lacks as gone
      */
-    static EndpointList of(Map<String, Object> json, List<String> zones, List<String> models) {
+    static EndpointList parse(Map<String, Object> json, List<String> zones, List<String> machineTypes) {
         List<Endpoint> endpoints = new ArrayList<>();
-        for (Object item : typed(json, "endpoints", List.class)) {
-            if (!(item instanceof Map<?, ?> line)) {
+        for (Object item : requireField(json, "endpoints", List.class)) {
+            if (!(item instanceof Map<?, ?> entry)) {
                 throw new IllegalArgumentException("an endpoint is not an object");
             }
-            endpoints.add(endpoint(line, zones, models));
+            endpoints.add(parseEndpoint(entry, zones, machineTypes));
         }
-        return new EndpointList(typed(json, "index", Number.class).longValue(),
-                typed(json, "snapshot", Boolean.class), endpoints);
+        return new EndpointList(requireField(json, "index", Number.class).longValue(),
+                requireField(json, "snapshot", Boolean.class), endpoints);
     }
 
-    private static Endpoint endpoint(Map<?, ?> line, List<String> zones, List<String> models) {
-        ServerStatus status = switch (typed(line, "status", String.class)) {
+    private static Endpoint parseEndpoint(Map<?, ?> entry, List<String> zones, List<String> machineTypes) {
+        ServerStatus status = switch (requireField(entry, "status", String.class)) {
             case "SERVING" -> ServerStatus.UP;
             case "DRAINING" -> ServerStatus.DRAINING;
             case "DELETED" -> ServerStatus.GONE;
-            default -> throw new IllegalArgumentException("status '" + line.get("status") + "' is not known");
+            default -> throw new IllegalArgumentException("status '" + entry.get("status")
+                    + "' is not known");
         };
-        Server server = new Server(typed(line, "name", String.class),
-                Clock.fromUnixMs(typed(line, "since_ms", Number.class).longValue()),
-                zones.indexOf(line.get("zone")), line.get("group") instanceof Number n ? n.intValue() : 0,
-                status, models.indexOf(line.get("type")));
-        return new Endpoint(server, ProxyConfig.parseAddress(typed(line, "address", String.class)));
+        Server server = new Server(requireField(entry, "name", String.class),
+                Clock.fromUnixMs(requireField(entry, "since_ms", Number.class).longValue()),
+                zones.indexOf(entry.get("zone")),
+                entry.get("group") instanceof Number group ? group.intValue() : 0,
+                status, machineTypes.indexOf(entry.get("type")));
+        return new Endpoint(server, ProxyConfig.parseAddress(requireField(entry, "address", String.class)));
     }
 
-    private static <T> T typed(Map<?, ?> json, String key, Class<T> type) {
+    private static <T> T requireField(Map<?, ?> json, String key, Class<T> type) {
         Object value = json.get(key);
         if (!type.isInstance(value)) {
             throw new IllegalArgumentException(key + " is missing or not a " + type.getSimpleName());
--- a/src/main/java/passhatch/proxy/ProxyConfig.java
+++ b/src/main/java/passhatch/proxy/ProxyConfig.java
@@ -91,7 +91,7 @@
         EndpointList cachedList = EndpointList.EMPTY;
         if (file.get("known") != null) {
             try {
-                cachedList = EndpointList.of(objectField(file, "known"), zones, machineTypes);
+                cachedList = EndpointList.parse(objectField(file, "known"), zones, machineTypes);
             } catch (IllegalArgumentException e) {
                 throw new InvalidConfigException("config: known: " + e.getMessage());
             }
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -31,9 +31,9 @@
 import passhatch.Balancer.Request;
 import passhatch.Balancer.RequestClass;
 import passhatch.Balancer.ServerStatus;
-import passhatch.proxy.BackendPool.AnswerSink;
+import passhatch.proxy.BackendPool.ResponseSink;
 import passhatch.proxy.BackendPool.Handle;
-import passhatch.proxy.BackendPool.Outgoing;
+import passhatch.proxy.BackendPool.OutgoingRequest;
 import passhatch.proxy.BackendPool.Result;
 import passhatch.proxy.BackendPool.Target;
 import passhatch.proxy.EventLog.Kind;
@@ -72,7 +72,7 @@
          * @param resumeReading called when the sink becomes writable after it was not
          * @return the sink for the parts of the body
          */
-        AnswerSink startStream(long contentLength, Runnable resumeReading);
+        ResponseSink startStream(long contentLength, Runnable resumeReading);
 
         /** Whether the client is known to be connected; false also if its disconnect may be undetected. */
         boolean isClientPresent();
@@ -162,7 +162,7 @@
         this.balancer = module.create(config.settings(), config.seed(), this);
         applyCachedList(config.cachedList());
         if (!config.settings().watch()) {
-            discovery.watch();
+            discovery.ensureWatching();
         }
     }
 
@@ -173,7 +173,7 @@
     /** The current metrics as text, one per line. */
     String counters() {
         return metrics.text(pendingRequests - incompleteRequests, balancer.serverCounts(clock.nowUs()),
-                List.of(discovery.calls()::metrics, guard::metrics));
+                List.of(discovery.calls()::addMetrics, guard::metrics));
     }
 
     /** Whether any list from discovery has ever named the backend, or an operator has disabled it. */
@@ -207,7 +207,7 @@
 
     /** Moves the watch to another address of discovery. */
     void setDiscoveryAddress(InetSocketAddress address) {
-        discovery.moveTo(address);
+        discovery.switchTo(address);
     }
 
     // ---- events for the module
@@ -219,15 +219,15 @@
     }
 
     @Override
-    public void listed(EndpointList list) {
+    public void onServerList(EndpointList list) {
         updateBackends(list);
         notifyModule(null, () -> balancer.serversChanged(clock.nowUs(),
-                list.whole() ? ListKind.FULL : ListKind.CHANGES, list.servers()));
+                list.full() ? ListKind.FULL : ListKind.CHANGES, list.servers()));
         readiness.setListReceived();
     }
 
     @Override
-    public void failed(DiscoveryFailure failure) {
+    public void onDiscoveryFailure(DiscoveryFailure failure) {
         notifyModule(null, () -> balancer.discoveryFailed(clock.nowUs(), failure));
     }
 
@@ -238,7 +238,7 @@
      * previous one are closed.
      */
     private void updateBackends(EndpointList list) {
-        if (list.whole()) {
+        if (list.full()) {
             Set<String> listedIds = new HashSet<>();
             list.endpoints().forEach(endpoint -> listedIds.add(endpoint.server().id()));
             backends.values().stream().filter(b -> !listedIds.contains(b.target.id()))
@@ -275,12 +275,12 @@
         pool.closeIdle(backend.target);
     }
 
-    private Handle sendTo(Backend backend, Outgoing outgoing, BackendPool.Listener listener) {
+    private Handle sendTo(Backend backend, OutgoingRequest outgoing, BackendPool.Listener listener) {
         backend.inFlight++;
         return pool.send(backend.target, outgoing, new BackendPool.Listener() {
             @Override
-            public AnswerSink streams(long contentLength, Runnable resumeReading) {
-                return listener.streams(contentLength, resumeReading);
+            public ResponseSink openSink(long contentLength, Runnable resumeReading) {
+                return listener.openSink(contentLength, resumeReading);
             }
 
             @Override
@@ -347,7 +347,7 @@
             if (attempt.outcome == null) {
                 attempt.sentAtUs = nowUs;
                 if (attempt.handle != null) {
-                    attempt.handle.expireIn(exchange.deadlineUs - nowUs);
+                    attempt.handle.setTimeout(exchange.deadlineUs - nowUs);
                 }
             }
         }
@@ -411,7 +411,7 @@
             if (exchange.streamedAttempt == null) {
                 respondInPlaceOfModule(exchange);
             } else if (exchange.streamedAttempt.handle != null) {
-                exchange.streamedAttempt.handle.breakOff();
+                exchange.streamedAttempt.handle.abortIfStalled();
             }
         }
     }
@@ -426,7 +426,7 @@
                     : Metrics.RequestResult.ERROR);
             markResponded(exchange);
             if (result.outcome() != Outcome.OK) {
-                exchange.sink.broken();
+                exchange.sink.fail();
             }
         } else if (result.outcome() == Outcome.OK && !exchange.responded
                 && exchange.streamedAttempt == null) {
@@ -448,7 +448,7 @@
      *
      * @return the sink for the parts of the response; null if the request already has a response
      */
-    private AnswerSink startStream(Exchange exchange, Attempt attempt, long contentLength,
+    private ResponseSink startStream(Exchange exchange, Attempt attempt, long contentLength,
             Runnable resumeReading) {
         if (exchange.responded || exchange.streamedAttempt != null) {
             return null;
@@ -513,7 +513,7 @@
         long attemptTimeoutUs = timeoutUs == 0 ? timeLeftUs : Math.min(timeoutUs, timeLeftUs);
         if (backend == null || exchange.responded || exchange.streamedAttempt != null || attemptTimeoutUs <= 0
                 || attempt.number >= maxAttempts) {
-            loop.execute(() -> attemptEnded(exchange, attempt, Result.without(Outcome.NOT_SENT)));
+            loop.execute(() -> attemptEnded(exchange, attempt, Result.withoutBody(Outcome.NOT_SENT)));
             return;
         }
         long attemptDeadlineUs = nowUs + attemptTimeoutUs;
@@ -521,7 +521,7 @@
         // that the request is open, that its time is not up, and that its backend has not been drained,
         // removed or disabled in the meantime.
         attempt.handle = sendTo(backend,
-                new Outgoing(() -> buildCheckedMessage(exchange, attempt, backend, attemptDeadlineUs),
+                new OutgoingRequest(() -> buildCheckedMessage(exchange, attempt, backend, attemptDeadlineUs),
                 exchange.request.body(),
                 () -> guard.mayWrite(new WriteConditions(exchange.responded
                 || exchange.streamedAttempt != null,
@@ -532,7 +532,7 @@
                 Outcome.TIMEOUT),
                 new BackendPool.Listener() {
                     @Override
-                    public AnswerSink streams(long contentLength, Runnable resumeReading) {
+                    public ResponseSink openSink(long contentLength, Runnable resumeReading) {
                         return startStream(exchange, attempt, contentLength, resumeReading);
                     }
 
@@ -637,7 +637,7 @@
             return;
         }
         long sentAtUs = clock.nowUs();
-        sendTo(backend, new Outgoing(ProxyLoop::probeMessage, () -> mayProbe(backend), () -> { },
+        sendTo(backend, new OutgoingRequest(ProxyLoop::probeMessage, () -> mayProbe(backend), () -> { },
                 PROBE_TIMEOUT_US, Outcome.TIMEOUT), result -> notifyModule(null, () -> {
                     long nowUs = clock.nowUs();
                     balancer.probeResult(nowUs, server, result.outcome(), nowUs - sentAtUs,
@@ -665,7 +665,7 @@
 
     @Override
     public void watchServers() {
-        discovery.watch();
+        discovery.ensureWatching();
     }
 
     @Override
@@ -720,7 +720,7 @@
         /** The attempt whose response is streamed to the client, or null. */
         Attempt streamedAttempt;
         long streamStartedAtUs;
-        AnswerSink sink;
+        ResponseSink sink;
 
         Exchange(ProxyRequest request, Responder responder, long deadlineUs) {
             this.request = request;
--- a/src/main/java/passhatch/proxy/ProxyServer.java
+++ b/src/main/java/passhatch/proxy/ProxyServer.java
@@ -271,7 +271,7 @@
         public void aloneChanged(boolean alone) {
             int available = alone ? descriptors : descriptors / 2;
             clientServer.setMaxConnections(clientDescriptors(available));
-            backendPool.mostOpen(backendDescriptors(available));
+            backendPool.setMaxOpen(backendDescriptors(available));
         }
     }
 
--- a/src/main/java/passhatch/proxy/ResponseReader.java
+++ b/src/main/java/passhatch/proxy/ResponseReader.java
@@ -41,7 +41,7 @@
         }
         malformed |= part.decoderResult().isFailure() || head == null || isUnacceptable(head);
         if (malformed) {
-            return Result.without(Outcome.ERROR);
+            return Result.withoutBody(Outcome.ERROR);
         }
         if (part instanceof HttpContent content) {
             content.content().readBytes(body, content.content().readableBytes());
@@ -57,7 +57,7 @@
         if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             malformed = ++interimResponses > MAX_INTERIM_RESPONSES;
             head = null;
-            return malformed ? Result.without(Outcome.ERROR) : null;
+            return malformed ? Result.withoutBody(Outcome.ERROR) : null;
         }
         return toResult();
     }
--- a/src/main/java/passhatch/proxy/ResponseStream.java
+++ b/src/main/java/passhatch/proxy/ResponseStream.java
@@ -18,7 +18,7 @@
  * A response that is streamed to its client. On a connection with pipelined requests it waits for the
  * responses before it. Until it starts it is not writable, so no more is read from its backend.
  */
-final class ResponseStream implements BackendPool.AnswerSink {
+final class ResponseStream implements BackendPool.ResponseSink {
 
     /** The client connection that the response is written to. */
     interface Owner {
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void part(ByteBuf bytes) {
+    public void write(ByteBuf bytes) {
         if (released) {
             bytes.release();
         } else if (started) {
@@ -89,7 +89,7 @@
      * are missing, or, if the body ends with the connection, the connection is reset.
      */
     @Override
-    public void broken() {
+    public void fail() {
         failed = true;
         ended = true;
         if (!started) {
--- a/src/test/java/passhatch/proxy/BackendPoolTest.java
+++ b/src/test/java/passhatch/proxy/BackendPoolTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import passhatch.Balancer.Outcome;
 import passhatch.proxy.BackendPool.Handle;
-import passhatch.proxy.BackendPool.Outgoing;
+import passhatch.proxy.BackendPool.OutgoingRequest;
 import passhatch.proxy.BackendPool.Result;
 import passhatch.proxy.BackendPool.Target;
 
@@ -39,21 +39,21 @@
 @Timeout(60)
 final class BackendPoolTest {
 
-    private static final long LONG_US = 15_000_000;
+    private static final long LONG_TIMEOUT_US = 15_000_000;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
             NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Result> results = new LinkedBlockingQueue<>();
-    private final AtomicInteger written = new AtomicInteger();
+    private final AtomicInteger writtenCount = new AtomicInteger();
     private BackendPool pool;
 
     @BeforeEach
     void setUp() {
-        pool = pool(10_000_000);
+        pool = newPool(10_000_000);
     }
 
-    private BackendPool pool(long keepaliveUs) {
+    private BackendPool newPool(long keepaliveUs) {
         return new BackendPool(loop, new Clock(), new EventLog(System.err), 10_000_000, keepaliveUs, 2);
     }
 
@@ -63,36 +63,39 @@
     }
 
     private Handle send(InetSocketAddress address, boolean wanted, long timeoutUs) throws Exception {
-        return loop.submit(() -> pool.send(new Target("s", address), new Outgoing(BackendPoolTest::message,
-                () -> wanted, written::incrementAndGet, timeoutUs, Outcome.TIMEOUT), results::add)).get();
+        return loop.submit(() -> pool.send(new Target("s", address),
+                new OutgoingRequest(BackendPoolTest::message, () -> wanted, writtenCount::incrementAndGet,
+                        timeoutUs, Outcome.TIMEOUT),
+                results::add)).get();
     }
 
     private static FullHttpRequest message() {
         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/x");
     }
 
-    private static Outgoing outgoing() {
-        return new Outgoing(BackendPoolTest::message, () -> true, () -> { }, LONG_US, Outcome.TIMEOUT);
+    private static OutgoingRequest outgoingRequest() {
+        return new OutgoingRequest(BackendPoolTest::message, () -> true, () -> { }, LONG_TIMEOUT_US,
+                Outcome.TIMEOUT);
     }
 
-    private Result next() throws InterruptedException {
+    private Result nextResult() throws InterruptedException {
         Result result = results.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         assertNotNull(result, "no result came");
         return result;
     }
 
-    private Outcome result() throws InterruptedException {
-        return next().outcome();
+    private Outcome nextOutcome() throws InterruptedException {
+        return nextResult().outcome();
     }
 
-    private String body(InetSocketAddress address) throws Exception {
-        send(address, true, LONG_US);
-        return new String(next().body(), StandardCharsets.UTF_8);
+    private String sendAndGetBody(InetSocketAddress address) throws Exception {
+        send(address, true, LONG_TIMEOUT_US);
+        return new String(nextResult().body(), StandardCharsets.UTF_8);
     }
 
-    private Outcome call(InetSocketAddress address) throws Exception {
-        send(address, true, LONG_US);
-        return result();
+    private Outcome sendAndGetOutcome(InetSocketAddress address) throws Exception {
+        send(address, true, LONG_TIMEOUT_US);
+        return nextOutcome();
     }
 
     @ParameterizedTest
@@ -120,13 +123,13 @@
             OK    | HTTP/1.0 200 OK                      | X-Length: 2
             ERROR | 101 Switching Protocols              | Upgrade: x
             """)
-    void readsAnswers(Outcome outcome, String status, String headers) throws Exception {
+    void mapsResponsesToOutcomes(Outcome outcome, String status, String headers) throws Exception {
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
-            String start = status.startsWith("HTTP") ? status : "HTTP/1.1 " + status;
-            connection.write(start + "\r\n" + headers.replace(";", "\r\n") + "\r\n\r\nab");
+            String statusLine = status.startsWith("HTTP") ? status : "HTTP/1.1 " + status;
+            connection.write(statusLine + "\r\n" + headers.replace(";", "\r\n") + "\r\n\r\nab");
             connection.close();
         })) {
-            assertEquals(outcome, call(backend.address()));
+            assertEquals(outcome, sendAndGetOutcome(backend.address()));
         }
     }
 
@@ -135,21 +138,22 @@
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\nx",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\nzz\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", "\u0001\u0002 noise\r\n\r\n"})
-    void aSpoiltAnswerEndsItsCallAtOnce(String spoilt) throws Exception {
-        try (ScriptedServer backend = new ScriptedServer((connection, request) -> connection.write(spoilt))) {
-            assertEquals(Outcome.ERROR, call(backend.address()));
-            backend.awaitEnded();
+    void malformedResponseFailsAtOnce(String malformed) throws Exception {
+        try (ScriptedServer backend =
+                new ScriptedServer((connection, request) -> connection.write(malformed))) {
+            assertEquals(Outcome.ERROR, sendAndGetOutcome(backend.address()));
+            backend.awaitClosedConnection();
         }
     }
 
     @Test
-    void interimAnswersArePassedOver() throws Exception {
+    void interimResponsesAreSkipped() throws Exception {
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> connection.write(
                 "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
                 + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"))) {
-            assertEquals("good", body(backend.address()));
-            assertEquals("good", body(backend.address()));
-            assertEquals(1, backend.connections.get(), "the connection is kept");
+            assertEquals("good", sendAndGetBody(backend.address()));
+            assertEquals("good", sendAndGetBody(backend.address()));
+            assertEquals(1, backend.connectionCount.get(), "the connection is kept");
         }
     }
 
@@ -159,37 +163,37 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond", "noi", "noise\r\n\r\n"})
-    void whatStandsBehindAnAnswerIsNoAnswer(String surplus) throws Exception {
-        AtomicInteger count = new AtomicInteger();
+    void surplusBytesAreNotReadAsNextResponse(String surplus) throws Exception {
+        AtomicInteger requestCount = new AtomicInteger();
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
-            if (count.getAndIncrement() == 0) {
+            if (requestCount.getAndIncrement() == 0) {
                 connection.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst" + surplus);
             } else {
                 connection.respond("200 OK", "own");
             }
         })) {
             Target target = new Target("s", backend.address());
-            loop.submit(() -> pool.send(target, outgoing(), first -> {
+            loop.submit(() -> pool.send(target, outgoingRequest(), first -> {
                 results.add(first);
-                pool.send(target, outgoing(), results::add);
+                pool.send(target, outgoingRequest(), results::add);
             })).get();
-            assertEquals("first", new String(next().body(), StandardCharsets.UTF_8));
-            assertEquals("own", new String(next().body(), StandardCharsets.UTF_8));
-            assertEquals(2, backend.connections.get());
+            assertEquals("first", new String(nextResult().body(), StandardCharsets.UTF_8));
+            assertEquals("own", new String(nextResult().body(), StandardCharsets.UTF_8));
+            assertEquals(2, backend.connectionCount.get());
         }
     }
 
     /** Bytes that come while nothing is asked end the connection. */
     @Test
-    void aConnectionThatSpeaksWhileIdleIsClosed() throws Exception {
-        BlockingQueue<HttpTestConnection> answered = new LinkedBlockingQueue<>();
+    void idleConnectionIsClosedOnUnsolicitedBytes() throws Exception {
+        BlockingQueue<HttpTestConnection> respondedConnections = new LinkedBlockingQueue<>();
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
             connection.respond("200 OK", "x");
-            answered.add(connection);
+            respondedConnections.add(connection);
         })) {
-            assertEquals(Outcome.OK, call(backend.address()));
-            answered.take().write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny");
-            backend.awaitEnded();
+            assertEquals(Outcome.OK, sendAndGetOutcome(backend.address()));
+            respondedConnections.take().write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\ny");
+            backend.awaitClosedConnection();
         }
     }
 
@@ -197,13 +201,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset", "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond",
         "HTTP/1.1 2", "\n"})
-    void aKeptConnectionIsLookedAtBeforeItIsUsed(String event) throws Exception {
-        CountDownLatch taken = new CountDownLatch(1);
+    void idleConnectionIsReadBeforeReuse(String event) throws Exception {
+        CountDownLatch loopBusy = new CountDownLatch(1);
         CountDownLatch happened = new CountDownLatch(1);
         // By the thread that reads there: closed by another while it reads, a socket is let go of only later.
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
             connection.respond("200 OK", "own");
-            taken.await();
+            loopBusy.await();
             switch (event) {
                 case "close" -> connection.close();
                 case "reset" -> connection.reset();
@@ -211,128 +215,129 @@
             }
             happened.countDown();
         })) {
-            assertEquals("own", body(backend.address()));
+            assertEquals("own", sendAndGetBody(backend.address()));
             loop.submit(() -> {
-                taken.countDown();
+                loopBusy.countDown();
                 assertTrue(happened.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-                return pool.send(new Target("s", backend.address()), outgoing(), results::add);
+                return pool.send(new Target("s", backend.address()), outgoingRequest(), results::add);
             }).get();
-            assertEquals("own", new String(next().body(), StandardCharsets.UTF_8));
-            assertEquals(2, backend.connections.get());
+            assertEquals("own", new String(nextResult().body(), StandardCharsets.UTF_8));
+            assertEquals(2, backend.connectionCount.get());
         }
     }
 
     /** The same in the turn in which it is closed as idle: the next call has a connection of its own. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 2", "\n"})
-    void aKeptConnectionMaySpeakInTheTurnOfItsClose(String half) throws Exception {
-        CountDownLatch taken = new CountDownLatch(1);
+    void bytesReceivedWhileClosingIdleConnectionAreIgnored(String unsolicited) throws Exception {
+        CountDownLatch loopBusy = new CountDownLatch(1);
         CountDownLatch happened = new CountDownLatch(1);
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
             connection.respond("200 OK", "own");
-            taken.await();
-            connection.write(half);
+            loopBusy.await();
+            connection.write(unsolicited);
             happened.countDown();
         })) {
-            assertEquals("own", body(backend.address()));
+            assertEquals("own", sendAndGetBody(backend.address()));
             loop.submit(() -> {
-                taken.countDown();
+                loopBusy.countDown();
                 assertTrue(happened.await(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
                 pool.closeIdle(new Target("s", backend.address()));
-                return pool.send(new Target("s", backend.address()), outgoing(), results::add);
+                return pool.send(new Target("s", backend.address()), outgoingRequest(), results::add);
             }).get();
-            assertEquals("own", new String(next().body(), StandardCharsets.UTF_8));
-            assertEquals(2, backend.connections.get());
+            assertEquals("own", new String(nextResult().body(), StandardCharsets.UTF_8));
+            assertEquals(2, backend.connectionCount.get());
         }
     }
 
     /** Another backend at the address of one that has gone starts on connections of its own. */
     @Test
     void anotherBackendAtTheAddressGetsItsOwnConnections() throws Exception {
-        try (ScriptedServer backend = ScriptedServer.saying("x")) {
-            assertEquals(Outcome.OK, call(backend.address()));
-            loop.submit(() -> pool.send(new Target("t", backend.address()), outgoing(), results::add)).get();
-            assertEquals(Outcome.OK, result());
-            assertEquals(2, backend.connections.get());
+        try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
+            assertEquals(Outcome.OK, sendAndGetOutcome(backend.address()));
+            loop.submit(() -> pool.send(new Target("t", backend.address()), outgoingRequest(), results::add))
+                    .get();
+            assertEquals(Outcome.OK, nextOutcome());
+            assertEquals(2, backend.connectionCount.get());
         }
     }
 
     @Test
-    void aBreakAfterTheRequestIsAReset() throws Exception {
+    void resetAfterTheRequestIsAReset() throws Exception {
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> connection.reset())) {
-            assertEquals(Outcome.RESET, call(backend.address()));
+            assertEquals(Outcome.RESET, sendAndGetOutcome(backend.address()));
         }
     }
 
     @Test
-    void aRefusedConnectionCouldNotBeMade() throws Exception {
-        InetSocketAddress nobody;
+    void refusedConnectionIsAConnectFailure() throws Exception {
+        InetSocketAddress unusedAddress;
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = (InetSocketAddress) closed.getLocalSocketAddress();
+            unusedAddress = (InetSocketAddress) closed.getLocalSocketAddress();
         }
-        assertEquals(Outcome.CONNECT_FAILED, call(nobody));
+        assertEquals(Outcome.CONNECT_FAILED, sendAndGetOutcome(unusedAddress));
     }
 
     /** The time-out covers connecting, and what was never written cannot have run. */
     @Test
-    void aConnectionThatNeverComesUpCouldNotBeMade() throws Exception {
-        try (ServerSocket stuck = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            InetSocketAddress at = (InetSocketAddress) stuck.getLocalSocketAddress();
-            try (Socket a = new Socket(at.getAddress(), at.getPort());
-                    Socket b = new Socket(at.getAddress(), at.getPort())) {
-                assertTrue(a.isConnected() && b.isConnected());
-                send(at, true, 200_000);
-                assertEquals(Outcome.CONNECT_FAILED, result());
+    void connectTimeoutIsAConnectFailure() throws Exception {
+        try (ServerSocket fullBacklog = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            InetSocketAddress address = (InetSocketAddress) fullBacklog.getLocalSocketAddress();
+            try (Socket first = new Socket(address.getAddress(), address.getPort());
+                    Socket second = new Socket(address.getAddress(), address.getPort())) {
+                assertTrue(first.isConnected() && second.isConnected());
+                send(address, true, 200_000);
+                assertEquals(Outcome.CONNECT_FAILED, nextOutcome());
             }
         }
     }
 
     @Test
-    void silenceTimesOutAndEndsTheConnection() throws Exception {
-        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.SILENT)) {
+    void missingResponseTimesOutAndClosesTheConnection() throws Exception {
+        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.NO_RESPONSE)) {
             send(backend.address(), true, 300_000);
-            backend.next();
-            assertEquals(Outcome.TIMEOUT, result());
-            backend.awaitEnded();
+            backend.nextRequest();
+            assertEquals(Outcome.TIMEOUT, nextOutcome());
+            backend.awaitClosedConnection();
         }
     }
 
     @Test
-    void aCancelledCallEndsOnceAndItsConnectionToo() throws Exception {
-        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.SILENT)) {
-            Handle call = send(backend.address(), true, LONG_US);
-            backend.next();
-            loop.submit(call::cancel).get();
-            loop.submit(call::cancel).get();
-            assertEquals(Outcome.CANCELLED, result());
-            backend.awaitEnded();
+    void cancelledRequestEndsOnceAndClosesItsConnection() throws Exception {
+        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.NO_RESPONSE)) {
+            Handle handle = send(backend.address(), true, LONG_TIMEOUT_US);
+            backend.nextRequest();
+            loop.submit(handle::cancel).get();
+            loop.submit(handle::cancel).get();
+            assertEquals(Outcome.CANCELLED, nextOutcome());
+            backend.awaitClosedConnection();
             assertTrue(results.isEmpty());
         }
     }
 
     @Test
-    void whatIsNoLongerWantedIsNotWritten() throws Exception {
-        try (ScriptedServer backend = ScriptedServer.saying("hm")) {
-            send(backend.address(), false, LONG_US);
-            assertEquals(Outcome.NOT_SENT, result());
-            assertEquals(Outcome.OK, call(backend.address()));
-            assertEquals(1, backend.connections.get(), "the connection is kept for the next call");
-            assertEquals(1, backend.received.size());
+    void requestNoLongerWantedIsNotWritten() throws Exception {
+        try (ScriptedServer backend = ScriptedServer.respondingWith("hm")) {
+            send(backend.address(), false, LONG_TIMEOUT_US);
+            assertEquals(Outcome.NOT_SENT, nextOutcome());
+            assertEquals(Outcome.OK, sendAndGetOutcome(backend.address()));
+            assertEquals(1, backend.connectionCount.get(), "the connection is kept for the next call");
+            assertEquals(1, backend.receivedRequests.size());
         }
     }
 
     @Test
-    void keepsAConnectionAndOpensAnotherWhereItIsBusy() throws Exception {
-        try (ScriptedServer backend = ScriptedServer.saying("x")) {
-            assertEquals(Outcome.OK, call(backend.address()));
-            assertEquals(Outcome.OK, call(backend.address()));
-            assertEquals(1, backend.connections.get());
+    void reusesAnIdleConnection() throws Exception {
+        try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
+            assertEquals(Outcome.OK, sendAndGetOutcome(backend.address()));
+            assertEquals(Outcome.OK, sendAndGetOutcome(backend.address()));
+            assertEquals(1, backend.connectionCount.get());
         }
     }
 
     /** A kept connection that the backend ends on the next request: that request may have run. */
     @Test
-    void aStaleConnectionIsAResetAndNothingIsSentAgain() throws Exception {
+    void requestOnAStaleConnectionIsAResetAndNotRetried() throws Exception {
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
             if (connection.socket.getKeepAlive()) {
                 connection.reset();
@@ -341,52 +346,52 @@
                 connection.respond("200 OK", "first");
             }
         })) {
-            assertEquals(Outcome.OK, call(backend.address()));
-            assertEquals(Outcome.RESET, call(backend.address()));
-            assertEquals(2, backend.received.size());
-            assertEquals(1, backend.connections.get());
+            assertEquals(Outcome.OK, sendAndGetOutcome(backend.address()));
+            assertEquals(Outcome.RESET, sendAndGetOutcome(backend.address()));
+            assertEquals(2, backend.receivedRequests.size());
+            assertEquals(1, backend.connectionCount.get());
         }
     }
 
     @Test
     void closesIdleConnectionsBeforeTheBackendMay() throws Exception {
-        pool = pool(1_000);
-        try (ScriptedServer backend = ScriptedServer.saying("x")) {
-            assertEquals(Outcome.OK, call(backend.address()));
+        pool = newPool(1_000);
+        try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
+            assertEquals(Outcome.OK, sendAndGetOutcome(backend.address()));
             Thread.sleep(1);
             loop.submit(pool::closeStale).get();
-            backend.awaitEnded();
+            backend.awaitClosedConnection();
         }
     }
 
     @Test
-    void closesIdleConnectionsWhenTold() throws Exception {
-        try (ScriptedServer backend = ScriptedServer.saying("x")) {
-            assertEquals(Outcome.OK, call(backend.address()));
+    void closesIdleConnectionsOnRequest() throws Exception {
+        try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
+            assertEquals(Outcome.OK, sendAndGetOutcome(backend.address()));
             loop.submit(() -> pool.closeIdle(new Target("s", backend.address()))).get();
-            backend.awaitEnded();
+            backend.awaitClosedConnection();
         }
     }
 
     @Test
     void sendsNothingPastItsLimitOfConnections() throws Exception {
-        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.SILENT)) {
-            send(backend.address(), true, LONG_US);
-            send(backend.address(), true, LONG_US);
-            assertEquals(Outcome.NOT_SENT, call(backend.address()));
+        try (ScriptedServer backend = new ScriptedServer(ScriptedServer.NO_RESPONSE)) {
+            send(backend.address(), true, LONG_TIMEOUT_US);
+            send(backend.address(), true, LONG_TIMEOUT_US);
+            assertEquals(Outcome.NOT_SENT, sendAndGetOutcome(backend.address()));
         }
     }
 
     @Test
-    void passesALoadReportOn() throws Exception {
+    void returnsTheLoadReport() throws Exception {
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> connection.write(
                 "HTTP/1.1 200 OK\r\nX-Load: TEXT inflight=7, queue=2, util=0.61\r\n"
                 + "Content-Length: 0\r\n\r\n"))) {
-            send(backend.address(), true, LONG_US);
+            send(backend.address(), true, LONG_TIMEOUT_US);
             Result result = results.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
             assertEquals(new passhatch.Balancer.LoadReport(7, 2, 0.61), result.report());
-        } catch (IOException e) {
-            throw new AssertionError(e);
+        } catch (IOException failure) {
+            throw new AssertionError(failure);
         }
     }
 }
--- a/src/test/java/passhatch/proxy/BadClientsTest.java
+++ b/src/test/java/passhatch/proxy/BadClientsTest.java
@@ -73,8 +73,8 @@
         assertEquals(400, client.read().status());
         assertNull(client.read());
         assertEquals("seen", rig.call(Rig.get("seen", "")).text());
-        assertEquals("seen", backend.next().header("X-Request-Id"));
-        assertTrue(backend.received.isEmpty());
+        assertEquals("seen", backend.nextRequest().header("X-Request-Id"));
+        assertTrue(backend.receivedRequests.isEmpty());
     }
 
     /** HTTP/1.0 has no transfer codings: a backend might take the chunks for another request. */
@@ -86,7 +86,7 @@
                 + "\r\n\r\n0\r\n\r\n" + SMUGGLED_REQUEST);
         assertEquals(400, client.read().status());
         assertNull(client.read());
-        assertTrue(backend.received.isEmpty());
+        assertTrue(backend.receivedRequests.isEmpty());
     }
 
     @ParameterizedTest
@@ -98,7 +98,7 @@
                 + "Content-Length: 60000000\r\n\r\n" + SMUGGLED_REQUEST);
         assertEquals(413, client.read().status());
         assertNull(client.read());
-        assertTrue(backend.received.isEmpty());
+        assertTrue(backend.receivedRequests.isEmpty());
     }
 
     @Test
@@ -110,7 +110,7 @@
         assertEquals(100, client.read().status());
         client.write("ab");
         assertEquals("polite", client.read().text());
-        assertEquals("ab", backend.next().text());
+        assertEquals("ab", backend.nextRequest().text());
     }
 
     /** A request before a malformed one is answered first, with its own response. */
@@ -119,7 +119,7 @@
         start();
         HttpTestConnection client = rig.client();
         client.write(Rig.get("held", "") + "nonsense\r\n\r\n");
-        backend.next();
+        backend.nextRequest();
         heldResponseReleased.countDown();
         assertEquals("held", client.read().text());
         assertEquals(400, client.read().status());
@@ -146,7 +146,7 @@
             }
             client.write(start.equals("\r\n") && reusesConnection ? "GET" : start);
             CountDownLatch connectionEnded = new CountDownLatch(1);
-            ScriptedServer.daemon(() -> {
+            ScriptedServer.startDaemonThread(() -> {
                 try {
                     while (connectionEnded.getCount() > 0) {
                         client.write("\r\n".equals(start) ? "\r\n" : "x");
@@ -188,7 +188,7 @@
         start();
         HttpTestConnection held = rig.client();
         held.write(Rig.get("held", ""));
-        backend.next();
+        backend.nextRequest();
         for (int i = 0; i < 60; i++) {
             rig.client();
         }
--- a/src/test/java/passhatch/proxy/ConsoleTest.java
+++ b/src/test/java/passhatch/proxy/ConsoleTest.java
@@ -125,7 +125,7 @@
             405 | DELETE /control/in-service
             """)
     void respondsWithStatusForMethodAndPath(int status, String call) throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         assertEquals(status, consoleStatus(call));
     }
@@ -218,11 +218,11 @@
 
     @Test
     void disconnectedClientIsNotCountedAsConcurrent() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpTestConnection client = rig.client();
         client.write(Rig.get("a", ""));
-        backend.next();
+        backend.nextRequest();
         assertEquals(1, counters().get("concurrent"));
         client.close();
         awaitMetric("concurrent", 0);
@@ -234,13 +234,13 @@
      */
     @Test
     void disabledBackendGetsNoRequestsWhateverDiscoverySays() throws Exception {
-        ScriptedServer a = ScriptedServer.saying("a");
-        ScriptedServer b = ScriptedServer.saying("b");
+        ScriptedServer a = ScriptedServer.respondingWith("a");
+        ScriptedServer b = ScriptedServer.respondingWith("b");
         rig.start(Rig.entry("a", a.address(), "SERVING"), Rig.entry("b", b.address(), "SERVING"));
         assertEquals(200, consoleStatus("POST /control/backends/a/offline"));
         assertEquals(200, consoleStatus("POST /control/backends/a/offline"));
         assertEquals(1, counters().get("targets_disabled"));
-        ScriptedServer moved = ScriptedServer.saying("moved");
+        ScriptedServer moved = ScriptedServer.respondingWith("moved");
         rig.discoveryLines.add(Rig.list(9, false, Rig.entry("a", a.address(), "DELETED")));
         rig.discoveryLines.add(Rig.list(10, true, Rig.entry("a", moved.address(), "SERVING"),
                 Rig.entry("b", b.address(), "SERVING"), Rig.entry("c", b.address(), "DRAINING")));
@@ -248,7 +248,7 @@
         for (int i = 0; i < 10; i++) {
             assertEquals("b", rig.call(Rig.get("r" + i, "")).text());
         }
-        assertEquals(0, a.received.size() + moved.received.size());
+        assertEquals(0, a.receivedRequests.size() + moved.receivedRequests.size());
         assertEquals(200, consoleStatus("POST /control/backends/a/online"));
         awaitServedBy("moved");
     }
@@ -272,7 +272,7 @@
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpTestConnection pending = rig.client();
         pending.write(Rig.get("held", ""));
-        backend.next();
+        backend.nextRequest();
         HttpTestConnection kept = rig.client();
         kept.write(Rig.get("kept", ""));
         assertNull(kept.read().header("Connection"));
@@ -301,7 +301,7 @@
      */
     @Test
     void drainWaitsForPartlyReceivedRequest() throws Exception {
-        ScriptedServer backend = ScriptedServer.saying("ok");
+        ScriptedServer backend = ScriptedServer.respondingWith("ok");
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpTestConnection kept = rig.client();
         kept.write(Rig.get("a", ""));
@@ -320,7 +320,7 @@
 
     @Test
     void cancelledDrainClosesNothing() throws Exception {
-        ScriptedServer backend = ScriptedServer.saying("ok");
+        ScriptedServer backend = ScriptedServer.respondingWith("ok");
         rig.start(Rig.entry("s", backend.address(), "SERVING"));
         HttpTestConnection kept = rig.client();
         assertEquals(200, consoleStatus("POST /control/out-of-service"));
--- a/src/test/java/passhatch/proxy/DiscoveryTest.java
+++ b/src/test/java/passhatch/proxy/DiscoveryTest.java
@@ -38,11 +38,11 @@
         rig.close();
     }
 
-    private ScriptedServer saying(String text) throws IOException {
+    private ScriptedServer backendRespondingWith(String text) throws IOException {
         return rig.backend((connection, request) -> connection.respond("200 OK", text));
     }
 
-    private static String up(String name, ScriptedServer backend) {
+    private static String servingEntry(String name, ScriptedServer backend) {
         return Rig.entry(name, backend.address(), "SERVING");
     }
 
@@ -53,63 +53,64 @@
     }
 
     @Test
-    void aWatchMayIndentItsLists() throws Exception {
-        ScriptedServer a = saying("a");
-        rig.start(indented(up("s", a)).strip());
+    void indentedListsAreParsed() throws Exception {
+        ScriptedServer backend = backendRespondingWith("a");
+        rig.start(indented(servingEntry("s", backend)).strip());
         assertEquals("a", rig.call(Rig.get("r", "")).text());
-        rig.discoveryLines.add(indented(Rig.list(9, false, Rig.entry("s", a.address(), "DELETED"),
-                up("t", saying("b")))));
+        rig.discoveryLines.add(indented(Rig.list(9, false, Rig.entry("s", backend.address(), "DELETED"),
+                servingEntry("t", backendRespondingWith("b")))));
         rig.discoveryLines.add(Rig.END_OF_WATCH);
-        assertTrue(rig.discovery().next().startLine().contains("from=7"));
-        assertTrue(rig.discovery().next().startLine().contains("from=9"), "all of it counts as heard");
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=7"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=9"), "all of it counts as heard");
         assertEquals("b", rig.call(Rig.get("q", "")).text());
     }
 
     @Test
-    void aWholeListMayBeIndented() throws Exception {
-        rig.start(up("s", saying("a")));
+    void indentedFullListIsParsed() throws Exception {
+        rig.start(servingEntry("s", backendRespondingWith("a")));
         rig.discoveryLines.add(Rig.END_OF_WATCH);
         rig.discoveryLines.add(Rig.EXPIRED_VERSION);
-        rig.discoveryLines.add(indented(Rig.list(40, true, up("t", saying("b")))));
-        assertTrue(rig.discovery().next().startLine().contains("from=7"));
-        assertTrue(rig.discovery().next().startLine().contains("from=8"));
-        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().startLine());
-        assertTrue(rig.discovery().next().startLine().contains("from=40"));
+        rig.discoveryLines.add(indented(Rig.list(40, true, servingEntry("t", backendRespondingWith("b")))));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=7"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=8"));
+        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().nextRequest().startLine());
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=40"));
         assertEquals("b", rig.call(Rig.get("q", "")).text());
     }
 
     /** Brackets, quotes and escapes within a text are no structure, and a read may end within a character. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7})
-    void aListMayComeInPiecesOfAnySize(int size) throws Exception {
-        ScriptedServer backend = saying("a");
-        String odd = up("s", backend).replace("\"zone\":\"a\"", "\"zone\":\"}\\\"]\u00e9\u20ac\\\\\"");
-        byte[] bytes = (Rig.list(8, true, odd) + "\n").getBytes(StandardCharsets.UTF_8);
-        try (ScriptedServer inPieces = new ScriptedServer((connection, request) -> {
+    void listSplitIntoChunksOfAnySizeIsParsed(int chunkBytes) throws Exception {
+        ScriptedServer backend = backendRespondingWith("a");
+        String endpoint = servingEntry("s", backend)
+                .replace("\"zone\":\"a\"", "\"zone\":\"}\\\"]\u00e9\u20ac\\\\\"");
+        byte[] bytes = (Rig.list(8, true, endpoint) + "\n").getBytes(StandardCharsets.UTF_8);
+        try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            for (int at = 0; at < bytes.length; at += size) {
-                int length = Math.min(size, bytes.length - at);
+            for (int offset = 0; offset < bytes.length; offset += chunkBytes) {
+                int length = Math.min(chunkBytes, bytes.length - offset);
                 connection.write(Integer.toHexString(length) + "\r\n");
-                connection.socket.getOutputStream().write(bytes, at, length);
+                connection.socket.getOutputStream().write(bytes, offset, length);
                 connection.write("\r\n");
             }
         })) {
-            rig.startWithDiscovery(inPieces.address());
+            rig.startWithDiscovery(discovery.address());
             assertEquals("a", rig.call(Rig.get("r", "")).text());
         }
     }
 
     /** What is open to the process before is of no use; at the latest the first call would find it broken. */
     @Test
-    void aBackendWithANewStartIsSpokenToOnNewConnections() throws Exception {
-        ScriptedServer backend = saying("a");
-        rig.start(up("s", backend));
+    void restartedBackendGetsNewConnections() throws Exception {
+        ScriptedServer backend = backendRespondingWith("a");
+        rig.start(servingEntry("s", backend));
         assertEquals("a", rig.call(Rig.get("r", "")).text());
-        rig.discoveryLines.add(Rig.list(9, false, up("s", backend).replace("\"since_ms\":0",
+        rig.discoveryLines.add(Rig.list(9, false, servingEntry("s", backend).replace("\"since_ms\":0",
                 "\"since_ms\":1600000000000")));
-        backend.awaitEnded();
+        backend.awaitClosedConnection();
         assertEquals("a", rig.call(Rig.get("q", "")).text());
-        assertEquals(2, backend.connections.get());
+        assertEquals(2, backend.connectionCount.get());
     }
 
     /** How a watch may end with no word: each is opened anew, and the list held meanwhile stands. */
@@ -117,33 +118,33 @@
     @ValueSource(strings = {"", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"index\":\r\n", "lines", "reset", "end",
         "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n"})
-    void aWatchThatFallsSilentIsOpenedAnew(String first) throws Exception {
-        ScriptedServer backend = saying("a");
-        AtomicInteger calls = new AtomicInteger();
-        CountDownLatch over = new CountDownLatch(1);
+    void failedOrStalledWatchIsReopened(String firstResponse) throws Exception {
+        ScriptedServer backend = backendRespondingWith("a");
+        AtomicInteger callCount = new AtomicInteger();
+        CountDownLatch testFinished = new CountDownLatch(1);
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
             String head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            if (calls.getAndIncrement() > 0) {
-                String list = Rig.list(8, true, up("s", backend)) + "\n";
+            if (callCount.getAndIncrement() > 0) {
+                String list = Rig.list(8, true, servingEntry("s", backend)) + "\n";
                 connection.write(head + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
-            } else if (first.equals("reset")) {
+            } else if (firstResponse.equals("reset")) {
                 connection.reset();
-            } else if (first.equals("end")) {
+            } else if (firstResponse.equals("end")) {
                 connection.write(head + "0\r\n\r\n");
-            } else if (first.equals("lines")) {
+            } else if (firstResponse.equals("lines")) {
                 connection.write(head + "9\r\n{\"index\":\r\n");
-                while (!over.await(500, TimeUnit.MILLISECONDS)) {
+                while (!testFinished.await(500, TimeUnit.MILLISECONDS)) {
                     connection.write("1\r\n\n\r\n");
                 }
             } else {
-                connection.write(first);
+                connection.write(firstResponse);
             }
         })) {
             rig.startWithDiscovery(discovery.address());
-            assertEquals(2, calls.get());
+            assertEquals(2, callCount.get());
             assertEquals("a", rig.call(Rig.get("r", "")).text());
         } finally {
-            over.countDown();
+            testFinished.countDown();
         }
     }
 
@@ -152,21 +153,21 @@
      * and binds 2.5 s later at the most: by then a second watch may have failed to answer, too.
      */
     @Test
-    void aWatchThatFallsSilentLaterIsOpenedAnewSooner() throws Exception {
-        long mostPauseMs = 750;
-        assertTrue(Discovery.SILENCE_MS + mostPauseMs + Discovery.ANSWER_MS < 8_500);
-        assertTrue(Discovery.SILENCE_MS >= 2_900, "a line may be late");
-        ScriptedServer a = saying("a");
-        BlockingQueue<Long> calls = new LinkedBlockingQueue<>();
+    void watchSilentAfterItsFirstListIsReopenedSooner() throws Exception {
+        long maxDelayMs = 750;
+        assertTrue(Discovery.WATCH_IDLE_TIMEOUT_MS + maxDelayMs + Discovery.RESPONSE_TIMEOUT_MS < 8_500);
+        assertTrue(Discovery.WATCH_IDLE_TIMEOUT_MS >= 2_900, "a line may be late");
+        ScriptedServer backend = backendRespondingWith("a");
+        BlockingQueue<Long> callTimesNs = new LinkedBlockingQueue<>();
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
-            String list = Rig.list(8, true, up("s", a)) + "\n";
+            String list = Rig.list(8, true, servingEntry("s", backend)) + "\n";
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
-            calls.add(System.nanoTime());
+            callTimesNs.add(System.nanoTime());
         })) {
             rig.startWithDiscovery(discovery.address());
-            long silentFrom = calls.take();
-            assertTrue(calls.take() - silentFrom < 4_400_000_000L);
+            long silentFromNs = callTimesNs.take();
+            assertTrue(callTimesNs.take() - silentFromNs < 4_400_000_000L);
         }
     }
 
@@ -175,28 +176,29 @@
      * they have is finished there, and one that comes back is used again.
      */
     @Test
-    void whatAWholeListDoesNotNameIsGoneButFinishesWhatItHas() throws Exception {
-        CountDownLatch finish = new CountDownLatch(1);
-        ScriptedServer a = rig.backend((connection, request) -> {
-            finish.await();
+    void backendMissingFromAFullListGetsNothingNew() throws Exception {
+        CountDownLatch allowResponse = new CountDownLatch(1);
+        ScriptedServer removed = rig.backend((connection, request) -> {
+            allowResponse.await();
             connection.respond("200 OK", "a");
         });
-        ScriptedServer b = saying("b");
-        rig.start(up("s", a));
-        HttpTestConnection open = rig.client();
-        open.write(Rig.post("/move", "open", ""));
-        a.next();
+        ScriptedServer added = backendRespondingWith("b");
+        rig.start(servingEntry("s", removed));
+        HttpTestConnection inFlight = rig.client();
+        inFlight.write(Rig.post("/move", "open", ""));
+        removed.nextRequest();
         rig.discoveryLines.add(Rig.END_OF_WATCH);
-        rig.discoveryLines.add(Rig.list(9, true, up("t", b)));
-        for (int i = 0; b.received.isEmpty(); i++) {
+        rig.discoveryLines.add(Rig.list(9, true, servingEntry("t", added)));
+        for (int i = 0; added.receivedRequests.isEmpty(); i++) {
             rig.call(Rig.post("/move", "m" + i, "X-Deadline: 100m\r\n"));
         }
-        int before = a.received.size();
+        int receivedBefore = removed.receivedRequests.size();
         assertEquals("b", rig.call(Rig.post("/move", "next", "")).text());
-        finish.countDown();
-        assertEquals("a", open.read().text());
-        assertEquals(before, a.received.size());
-        rig.discoveryLines.add(Rig.list(10, false, up("s", a), Rig.entry("t", b.address(), "DELETED")));
+        allowResponse.countDown();
+        assertEquals("a", inFlight.read().text());
+        assertEquals(receivedBefore, removed.receivedRequests.size());
+        rig.discoveryLines.add(Rig.list(10, false, servingEntry("s", removed),
+                Rig.entry("t", added.address(), "DELETED")));
         for (String text = "b"; !text.equals("a");) {
             text = rig.call(Rig.post("/move", "back" + System.nanoTime(), "")).text();
         }
@@ -207,7 +209,7 @@
      * in a long outage. One call is made at a time, and after each that failed another within a second or so.
      */
     @Test
-    void afterAFailedCallAnotherIsMadeInTimeWhateverTheModuleAsks() throws Exception {
+    void failedCallIsRetriedInTimeWithoutTheModule() throws Exception {
         rig.replaceInConfig("\"pushed\"", "\"on_request\"")
                 .replaceInConfig("\"drainGraceUs\"", "\"askEveryUs\":10000000,\"drainGraceUs\"")
                 .module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
@@ -216,32 +218,32 @@
                         actions.watchServers();
                     }
                 }));
-        ScriptedServer backend = saying("a");
-        AtomicInteger calls = new AtomicInteger();
+        ScriptedServer backend = backendRespondingWith("a");
+        AtomicInteger callCount = new AtomicInteger();
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
-            if (calls.incrementAndGet() <= 3) {
+            if (callCount.incrementAndGet() <= 3) {
                 connection.respond("503 Down", "");
             } else {
-                String list = Rig.list(8, true, up("s", backend)) + "\n";
+                String list = Rig.list(8, true, servingEntry("s", backend)) + "\n";
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
             }
         })) {
             rig.startWithDiscovery(discovery.address());
-            assertEquals(4, calls.get());
-            assertEquals(4, discovery.connections.get(), "one call at a time");
+            assertEquals(4, callCount.get());
+            assertEquals(4, discovery.connectionCount.get(), "one call at a time");
         }
     }
 
     /** Two calls of each proxy of a fleet at its start would be one too many. */
     @Test
-    void aKnownListOfVersionZeroIsWatchedFromThere() throws Exception {
-        ScriptedServer backend = saying("a");
+    void cachedListOfVersionZeroIsWatchedFromThere() throws Exception {
+        ScriptedServer backend = backendRespondingWith("a");
         rig.replaceInConfig("\"index\":7", "\"index\":0")
-                .replaceInConfig("\"endpoints\":[]", "\"endpoints\":[" + up("s", backend) + "]");
+                .replaceInConfig("\"endpoints\":[]", "\"endpoints\":[" + servingEntry("s", backend) + "]");
         rig.discoveryLines.add(Rig.list(0, false));
         rig.startWithoutList(rig.discovery().address());
-        assertTrue(rig.discovery().next().startLine().contains("watch=1&from=0"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("watch=1&from=0"));
         Rig.awaitReady(rig.proxy().address());
         assertEquals("a", rig.call(Rig.get("r", "")).text());
     }
@@ -251,58 +253,59 @@
      * both would call, and a fleet would hold discovery in the state in which it refuses.
      */
     @Test
-    void refusedCallsFollowEachOtherLaterEachTime() throws Exception {
+    void refusedCallsBackOff() throws Exception {
         int count = 9;
         rig.replaceInConfig("\"pushed\"", "\"on_request\"")
                 .replaceInConfig("\"drainGraceUs\"", "\"askEveryUs\":10000000,\"drainGraceUs\"");
-        BlockingQueue<Long> calls = new LinkedBlockingQueue<>();
+        BlockingQueue<Long> callTimesNs = new LinkedBlockingQueue<>();
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
-            calls.add(System.nanoTime());
+            callTimesNs.add(System.nanoTime());
             connection.respond("503 Crowded", "");
         })) {
             rig.startWithoutList(discovery.address());
-            long first = calls.take();
-            long last = first;
+            long firstNs = callTimesNs.take();
+            long lastNs = firstNs;
             for (int i = 1; i < count; i++) {
-                last = calls.take();
+                lastNs = callTimesNs.take();
             }
-            assertTrue(last - first > 5_000_000_000L, count + " calls came within " + (last - first) + " ns");
+            assertTrue(lastNs - firstNs > 5_000_000_000L,
+                    count + " calls came within " + (lastNs - firstNs) + " ns");
         }
     }
 
     /** What is written counts as told, so this cannot wait for the 4.5 s that a silent watch is given. */
     @Test
-    void aWatchThatBreaksOffWithinAListIsOpenedAnewAtOnce() throws Exception {
-        BlockingQueue<Long> calls = new LinkedBlockingQueue<>();
+    void watchStalledWithinAListIsReopenedAtOnce() throws Exception {
+        BlockingQueue<Long> callTimesNs = new LinkedBlockingQueue<>();
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"index\":\r\n");
-            calls.add(System.nanoTime());
+            callTimesNs.add(System.nanoTime());
         })) {
             rig.startWithoutList(discovery.address());
-            long first = calls.take();
-            assertTrue(calls.take() - first < 4_400_000_000L);
+            long firstNs = callTimesNs.take();
+            assertTrue(callTimesNs.take() - firstNs < 4_400_000_000L);
         }
     }
 
     /** The list is whole, its answer is not: the watch must not wait for that. */
     @Test
-    void theWatchDoesNotWaitForTheEndOfAFetchedList() throws Exception {
-        ScriptedServer backend = saying("a");
-        BlockingQueue<Long> calls = new LinkedBlockingQueue<>();
+    void watchStartsBeforeTheEndOfTheFullListResponse() throws Exception {
+        ScriptedServer backend = backendRespondingWith("a");
+        BlockingQueue<Long> callTimesNs = new LinkedBlockingQueue<>();
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
-            calls.add(System.nanoTime());
+            callTimesNs.add(System.nanoTime());
             if (request.startLine().contains("from=7")) {
                 connection.respond("410 Gone", "");
             } else {
-                String list = Rig.list(8, true, up("s", backend));
+                String list = Rig.list(8, true, servingEntry("s", backend));
                 connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
             }
         })) {
             rig.startWithoutList(discovery.address());
-            calls.take();
-            long fetched = calls.take();
-            assertTrue(calls.take() - fetched < 4_400_000_000L);
+            callTimesNs.take();
+            long fetchedNs = callTimesNs.take();
+            assertTrue(callTimesNs.take() - fetchedNs < 4_400_000_000L);
         }
     }
 }
--- a/src/test/java/passhatch/proxy/LargeBodiesTest.java
+++ b/src/test/java/passhatch/proxy/LargeBodiesTest.java
@@ -118,11 +118,11 @@
     /** Starts a backend whose behaviour reads request bodies itself. */
     private ServerSocket backend(Behaviour behaviour) throws IOException {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        ScriptedServer.daemon(() -> {
+        ScriptedServer.startDaemonThread(() -> {
             try {
                 while (true) {
                     HttpTestConnection connection = new HttpTestConnection(listener.accept());
-                    ScriptedServer.daemon(() -> {
+                    ScriptedServer.startDaemonThread(() -> {
                         try {
                             for (String start = connection.readLine(); start != null; start =
                                     connection.readLine()) {
@@ -445,7 +445,7 @@
         rig.start(up("a", backend(resetting)), up("b", backend(resetting)));
         HttpTestConnection client =
                 post("/buy", "Idempotency-Key: k\r\nContent-Length: " + LARGE_BYTES + "\r\n");
-        ScriptedServer.daemon(() -> {
+        ScriptedServer.startDaemonThread(() -> {
             try {
                 client.write(content);
             } catch (IOException closed) {
--- a/src/test/java/passhatch/proxy/LeavingClientsTest.java
+++ b/src/test/java/passhatch/proxy/LeavingClientsTest.java
@@ -122,7 +122,7 @@
     private void assertNothingWasSent() throws Exception {
         rig.call(Rig.get("last", ""));
         List<String> received = new ArrayList<>();
-        for (HttpTestConnection.Message message = backend.next();; message = backend.next()) {
+        for (HttpTestConnection.Message message = backend.nextRequest();; message = backend.nextRequest()) {
             if (message.header("X-Request-Id").equals("last")) {
                 break;
             }
@@ -155,7 +155,7 @@
         HttpTestConnection client = rig.client();
         client.write(Rig.get("connects", ""));
         assertEquals("connects", next(receivedIds));
-        while (backend.connections.get() == 0) {
+        while (backend.connectionCount.get() == 0) {
             Thread.onSpinWait();
         }
         disconnect.perform(client);
--- a/src/test/java/passhatch/proxy/ProxyServerTest.java
+++ b/src/test/java/passhatch/proxy/ProxyServerTest.java
@@ -66,7 +66,7 @@
         Message response = client.read();
         assertEquals(200, response.status());
         assertArrayEquals(body, response.body());
-        Message sent = backend.next();
+        Message sent = backend.nextRequest();
         assertEquals("POST /buy/3?q=%20a HTTP/1.1", sent.startLine());
         assertArrayEquals(body, sent.body());
         assertEquals("r1", sent.header("X-Request-Id"));
@@ -77,7 +77,7 @@
 
     @Test
     void isReadyOnlyAfterTheListHasArrived() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         ProxyServer proxy = ProxyServer.start(ProxyConfig.read(rig.environment()), new EventLog(System.err),
                 passhatch.LeastLoadedBalancer::new);
         try (HttpTestConnection client = HttpTestConnection.connect(proxy.address())) {
@@ -115,7 +115,7 @@
         rig.freezeClock().replaceInConfig("\"pushed\"", "\"" + discoveryMode + "\"")
                 .replaceInConfig("\"drainGraceUs\"", "\"askEveryUs\":10000000,\"drainGraceUs\"")
                 .replaceInConfig("\"endpoints\":[]", "\"endpoints\":[" + up("s", backend) + "]");
-        ScriptedServer discovery = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer discovery = rig.backend(ScriptedServer.NO_RESPONSE);
         if (!silent) {
             discovery.close();
         }
@@ -159,18 +159,18 @@
         assertEquals(status, rig.call(start + "\r\nHost: p\r\nX-Request-Id: bad\r\n" + header + "\r\n\r\n")
                 .status());
         assertEquals(200, rig.call(Rig.get("good", "")).status());
-        assertEquals("good", backend.next().header("X-Request-Id"));
-        assertTrue(backend.received.isEmpty());
+        assertEquals("good", backend.nextRequest().header("X-Request-Id"));
+        assertTrue(backend.receivedRequests.isEmpty());
     }
 
     @Test
     void rejectsARequestIdThatIsInUse() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(up("s", backend));
         rig.client().write(Rig.get("same", ""));
-        backend.next();
+        backend.nextRequest();
         assertEquals(400, rig.call(Rig.get("same", "")).status());
-        assertTrue(backend.received.isEmpty());
+        assertTrue(backend.receivedRequests.isEmpty());
     }
 
     /** A client that reuses the id of an open request and disconnects must not cancel that request. */
@@ -184,7 +184,7 @@
         rig.start(up("s", backend));
         HttpTestConnection first = rig.client();
         first.write(Rig.get("same", ""));
-        backend.next();
+        backend.nextRequest();
         HttpTestConnection duplicate = rig.client();
         duplicate.write(Rig.get("same", ""));
         assertEquals(400, duplicate.read().status());
@@ -278,14 +278,14 @@
         Message response = client.read();
         assertTrue((System.nanoTime() - startNs) / 1_000_000 < 1500);
         assertEquals(502, response.status(), "an unsafe request that may have run must not get a 503");
-        backend.awaitEnded();
+        backend.awaitClosedConnection();
         client.write(Rig.get("next", ""));
         assertEquals("quick", client.read().text(), "a second response was written for the first request");
     }
 
     @Test
     void respondsBeforeTheDeadlineIfTheModuleDoesNot() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
             if (args[args.length - 1] instanceof Balancer.Request incoming && incoming.id().equals("sent")) {
                 actions.send(incoming.id(), "s", 0);
@@ -300,7 +300,7 @@
     /** A request's time-out runs while the event loop is blocked and reads nothing. */
     @Test
     void deductsTheTimeThatARequestWaitedUnread() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         CountDownLatch loopBlocked = new CountDownLatch(1);
         BlockingQueue<Long> timesLeftUs = new LinkedBlockingQueue<>();
         rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
@@ -376,7 +376,7 @@
         ScriptedServer second = rig.backend(rejecting);
         rig.start(up("a", first), up("b", second));
         assertTrue(rig.call(Rig.get("r", "")).status() >= 400);
-        assertEquals(1, first.received.size() + second.received.size());
+        assertEquals(1, first.receivedRequests.size() + second.receivedRequests.size());
     }
 
     /** If a response is lost, the request must not fail: once overdue, it is also sent to another backend. */
@@ -407,7 +407,7 @@
         ScriptedServer second = rig.backend(resetting);
         rig.start(up("a", first), up("b", second));
         assertEquals(502, rig.call(Rig.post("/move", "r", "")).status());
-        assertEquals(1, first.received.size() + second.received.size());
+        assertEquals(1, first.receivedRequests.size() + second.receivedRequests.size());
     }
 
     @Test
@@ -417,13 +417,13 @@
                 connection.write("HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
             }
         };
-        ScriptedServer good = ScriptedServer.saying("done");
+        ScriptedServer good = ScriptedServer.respondingWith("done");
         ScriptedServer full = rig.backend(refusing);
         try (good) {
             rig.start(up("full", full));
             HttpTestConnection client = rig.client();
             client.write(Rig.post("/move", "r", ""));
-            full.next();
+            full.nextRequest();
             rig.discoveryLines.add(Rig.list(9, false, up("good", good)));
             assertEquals("done", client.read().text());
         }
@@ -433,13 +433,13 @@
     @Test
     void nothingIsWrittenToABackendThatDrainsWhileConnecting() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", ""));
-        EndpointList drainingList = EndpointList.of(JSON.std.mapFrom(Rig.list(9, false,
+        EndpointList drainingList = EndpointList.parse(JSON.std.mapFrom(Rig.list(9, false,
                 Rig.entry("s", backend.address(), "DRAINING"))), List.of("a"), List.of("m"));
         BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
         rig.module((settings, seed, actions) -> ScriptedModule.of((method, args) -> {
             if (method.equals("request")) {
                 actions.send(((Balancer.Request) args[1]).id(), "s", 0);
-                ((Discovery.Listener) actions).listed(drainingList);
+                ((Discovery.Listener) actions).onServerList(drainingList);
             } else if (method.equals("outcome")) {
                 outcomes.add((Outcome) args[4]);
                 actions.refuse((String) args[1], 0);
@@ -447,25 +447,25 @@
         })).start(up("s", backend));
         assertEquals(503, rig.call(Rig.post("/move", "r", "")).status());
         assertEquals(Outcome.NOT_SENT, outcomes.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-        assertTrue(backend.received.isEmpty());
+        assertTrue(backend.receivedRequests.isEmpty());
     }
 
     @Test
     void resumesABrokenWatchFromTheLastIndexAndSkipsBadLines() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         rig.start(up("s", backend));
-        assertTrue(rig.discovery().next().startLine().contains("from=7"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=7"));
         rig.discoveryLines.add("{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":5}]}");
         rig.discoveryLines.add("not json");
         rig.discoveryLines.add(Rig.END_OF_WATCH);
-        assertTrue(rig.discovery().next().startLine().contains("from=8"),
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=8"),
                 "invalid lines must not advance the version");
         assertEquals("s", rig.call(Rig.get("a", "")).text(), "the last valid list must stay in use");
         ScriptedServer other = rig.backend((connection, request) -> connection.respond("200 OK", "t"));
         rig.discoveryLines.add(Rig.list(12, false, Rig.entry("s", backend.address(), "DELETED"),
                 up("t", other)));
         rig.discoveryLines.add(Rig.END_OF_WATCH);
-        assertTrue(rig.discovery().next().startLine().contains("from=12"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=12"));
         assertEquals("t", rig.call(Rig.get("b", "")).text());
     }
 
@@ -473,44 +473,44 @@
     void fetchesTheFullListIfTheVersionHasExpired() throws Exception {
         ScriptedServer backend = rig.backend((connection, request) -> connection.respond("200 OK", "s"));
         rig.start(up("s", backend));
-        assertTrue(rig.discovery().next().startLine().contains("from=7"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=7"));
         ScriptedServer other = rig.backend((connection, request) -> connection.respond("200 OK", "t"));
         rig.discoveryLines.add(Rig.END_OF_WATCH);
         rig.discoveryLines.add(Rig.EXPIRED_VERSION);
         rig.discoveryLines.add(Rig.list(40, true, up("t", other)));
-        assertTrue(rig.discovery().next().startLine().contains("from=8"));
-        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().next().startLine());
-        assertTrue(rig.discovery().next().startLine().contains("from=40"));
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=8"));
+        assertEquals("GET /v1/endpoints HTTP/1.1", rig.discovery().nextRequest().startLine());
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=40"));
         assertEquals("t", rig.call(Rig.get("b", "")).text());
     }
 
     @Test
     void aClientThatDisconnectsCancelsItsAttempt() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(up("s", backend));
         HttpTestConnection closing = rig.client();
         closing.write(Rig.get("a", ""));
-        backend.next();
+        backend.nextRequest();
         closing.close();
-        backend.awaitEnded();
+        backend.awaitClosedConnection();
         HttpTestConnection resetting = rig.client();
         resetting.write(Rig.get("b", ""));
-        backend.next();
+        backend.nextRequest();
         resetting.reset();
-        backend.awaitEnded();
+        backend.awaitClosedConnection();
     }
 
     @Test
     void aClientThatHalfClosesGets502AndIsDisconnected() throws Exception {
-        ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+        ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
         rig.start(up("s", backend));
         HttpTestConnection client = rig.client();
         client.write(Rig.get("a", ""));
-        backend.next();
+        backend.nextRequest();
         client.socket.shutdownOutput();
         assertEquals(502, client.read().status());
         assertNull(client.read());
-        backend.awaitEnded();
+        backend.awaitClosedConnection();
     }
 
     @Test
@@ -521,9 +521,9 @@
         rig.limit("probes", true).start(up("s", backend));
         assertEquals("served", rig.call(Rig.get("a", "")).text());
         // A request does not wait for a slow probe, so either may arrive first.
-        Message firstReceived = backend.next();
+        Message firstReceived = backend.nextRequest();
         boolean probeFirst = firstReceived.startLine().contains("/status/load");
-        Message probe = probeFirst ? firstReceived : backend.next();
+        Message probe = probeFirst ? firstReceived : backend.nextRequest();
         assertEquals("GET /status/load HTTP/1.1", probe.startLine());
         assertNull(probe.header("X-Request-Id"), "a probe must not have a request id");
     }
--- a/src/test/java/passhatch/proxy/ReloadTest.java
+++ b/src/test/java/passhatch/proxy/ReloadTest.java
@@ -99,13 +99,13 @@
         Map<String, String> env = rig.environmentWithDiscovery(loopbackText(other.discovery().address()));
         rig.proxy().reload(env);
         other.discoveryLines.add(Rig.list(8, true, servingEntry("t", respondingWith("b"))));
-        assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().next().startLine());
-        assertTrue(other.discovery().next().startLine().contains("watch=1&from=8"));
+        assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().nextRequest().startLine());
+        assertTrue(other.discovery().nextRequest().startLine().contains("watch=1&from=8"));
         awaitServedBy(rig.proxy().address(), "b");
         rig.discoveryLines.add(Rig.list(9, true));
         rig.discoveryLines.add(Rig.list(9, true));
         rig.discoveryLines.add(Rig.END_OF_WATCH);
-        rig.discovery().awaitEnded();
+        rig.discovery().awaitClosedConnection();
         assertEquals("b", rig.call(Rig.get("r", "")).text(), "lists from the old address are ignored");
     }
 
@@ -119,7 +119,7 @@
         rig.start(servingEntry("s", a));
         assertEquals("a", rig.call(Rig.get("r", "")).text());
         rig.proxy().reload(rig.environmentWithDiscovery(loopbackText(other.discovery().address())));
-        other.discovery().next();
+        other.discovery().nextRequest();
         rig.discoveryLines.add(Rig.list(9, false, Rig.entry("s", a.address(), "DELETED"),
                 servingEntry("t", respondingWith("b"))));
         awaitServedBy(rig.proxy().address(), "b");
@@ -141,7 +141,7 @@
         rig.start(servingEntry("s", respondingWith("a")));
         rig.proxy().reload(rig.environmentWithDiscovery(loopbackText(other.discovery().address())));
         rig.discoveryLines.add(Rig.list(9, false));
-        assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().next().startLine());
+        assertEquals("GET /v1/endpoints HTTP/1.1", other.discovery().nextRequest().startLine());
     }
 
     @Test
--- a/src/test/java/passhatch/proxy/ScriptedServer.java
+++ b/src/test/java/passhatch/proxy/ScriptedServer.java
@@ -20,32 +20,32 @@
     }
 
     /** Leaves the request without an answer. */
-    static final Script SILENT = (connection, request) -> { };
+    static final Script NO_RESPONSE = (connection, request) -> { };
 
-    final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
-    final BlockingQueue<HttpTestConnection> ended = new LinkedBlockingQueue<>();
-    final AtomicInteger connections = new AtomicInteger();
-    private final ServerSocket listener;
+    final BlockingQueue<Message> receivedRequests = new LinkedBlockingQueue<>();
+    final BlockingQueue<HttpTestConnection> closedConnections = new LinkedBlockingQueue<>();
+    final AtomicInteger connectionCount = new AtomicInteger();
+    private final ServerSocket serverSocket;
     private final Script script;
 
     ScriptedServer(Script script) throws IOException {
         this.script = script;
-        this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(this::accept);
+        this.serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        startDaemonThread(this::accept);
     }
 
     /** A backend that answers every request with its own text. */
-    static ScriptedServer saying(String text) throws IOException {
+    static ScriptedServer respondingWith(String text) throws IOException {
         return new ScriptedServer((connection, request) -> connection.respond("200 OK", text));
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) listener.getLocalSocketAddress();
+        return (InetSocketAddress) serverSocket.getLocalSocketAddress();
     }
 
     /** The next request received. */
-    Message next() throws InterruptedException {
-        Message message = received.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    Message nextRequest() throws InterruptedException {
+        Message message = receivedRequests.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (message == null) {
             throw new AssertionError("no request came");
         }
@@ -53,8 +53,8 @@
     }
 
     /** Waits until the other side has ended a connection. */
-    void awaitEnded() throws InterruptedException {
-        if (ended.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS) == null) {
+    void awaitClosedConnection() throws InterruptedException {
+        if (closedConnections.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS) == null) {
             throw new AssertionError("no connection was ended");
         }
     }
@@ -62,9 +62,9 @@
     private void accept() {
         try {
             while (true) {
-                HttpTestConnection connection = new HttpTestConnection(listener.accept());
-                connections.incrementAndGet();
-                daemon(() -> serve(connection));
+                HttpTestConnection connection = new HttpTestConnection(serverSocket.accept());
+                connectionCount.incrementAndGet();
+                startDaemonThread(() -> serve(connection));
             }
         } catch (IOException closed) {
             // The test is over.
@@ -73,17 +73,17 @@
 
     private void serve(HttpTestConnection connection) {
         try {
-            for (Message m = connection.read(); m != null; m = connection.read()) {
-                received.add(m);
-                script.handle(connection, m);
+            for (Message message = connection.read(); message != null; message = connection.read()) {
+                receivedRequests.add(message);
+                script.handle(connection, message);
             }
         } catch (IOException | InterruptedException broken) {
             // Tests look at what was received, not at how connections break.
         }
-        ended.add(connection);
+        closedConnections.add(connection);
     }
 
-    static void daemon(Runnable body) {
+    static void startDaemonThread(Runnable body) {
         Thread thread = new Thread(body);
         thread.setDaemon(true);
         thread.start();
@@ -91,6 +91,6 @@
 
     @Override
     public void close() throws IOException {
-        listener.close();
+        serverSocket.close();
     }
 }
--- a/src/test/java/passhatch/proxy/ShutdownTest.java
+++ b/src/test/java/passhatch/proxy/ShutdownTest.java
@@ -22,11 +22,11 @@
     @Test
     void pendingRequestIsAnsweredBeforeSigkill() throws Exception {
         try (Rig rig = new Rig(folder)) {
-            ScriptedServer backend = rig.backend(ScriptedServer.SILENT);
+            ScriptedServer backend = rig.backend(ScriptedServer.NO_RESPONSE);
             rig.start(Rig.entry("s", backend.address(), "SERVING"));
             HttpTestConnection client = rig.client();
             client.write(Rig.post("/move", "stuck", ""));
-            backend.next();
+            backend.nextRequest();
             long startNs = System.nanoTime();
             rig.proxy().shutDown();
             assertEquals(502, client.read().status());
@@ -49,7 +49,7 @@
             try (ProxyProcess proxy = new ProxyProcess(rig.environment())) {
                 HttpTestConnection pending = HttpTestConnection.connect(proxy.address);
                 pending.write(Rig.get("held", ""));
-                backend.next();
+                backend.nextRequest();
                 HttpTestConnection kept = HttpTestConnection.connect(proxy.address);
                 HttpTestConnection unused = HttpTestConnection.connect(proxy.address);
                 proxy.signal("TERM");
@@ -58,12 +58,12 @@
                 open.write(Rig.get("quick", ""));
                 assertNull(open.read().header("Connection"),
                         "the connection is kept, as clients may have no other proxy yet");
-                backend.next();
+                backend.nextRequest();
                 HttpTestConnection late = HttpTestConnection.connect(proxy.address);
                 late.write(Rig.get("late", ""));
-                backend.next();
+                backend.nextRequest();
                 kept.write(Rig.get("kept", ""));
-                backend.next();
+                backend.nextRequest();
                 while (proxy.isListening()) {
                     Thread.sleep(10);
                 }
--- a/src/test/java/passhatch/proxy/UpgradeTest.java
+++ b/src/test/java/passhatch/proxy/UpgradeTest.java
@@ -93,7 +93,7 @@
 
     @Test
     void restartLosesNoRequestAndKeepsBackendsDisabled() throws Exception {
-        ScriptedServer a = ScriptedServer.saying("a");
+        ScriptedServer a = ScriptedServer.respondingWith("a");
         CountDownLatch release = new CountDownLatch(1);
         ScriptedServer b = rig.backend((connection, request) -> {
             if (request.header("X-Request-Id").equals("held")) {
@@ -107,7 +107,7 @@
             assertTrue(first.succeeds("POST /control/backends/a/offline"));
             HttpTestConnection pending = HttpTestConnection.connect(listen);
             pending.write(Rig.get("held", ""));
-            assertEquals("held", b.next().header("X-Request-Id"));
+            assertEquals("held", b.nextRequest().header("X-Request-Id"));
             AtomicBoolean stop = new AtomicBoolean();
             AtomicInteger served = new AtomicInteger();
             CompletableFuture<String> clientResult = CompletableFuture.supplyAsync(() -> {
@@ -137,10 +137,11 @@
                 }
                 stop.set(true);
                 assertEquals("200 b", clientResult.get(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-                assertEquals(0, a.received.size(), "the disabled backend is disabled in the successor too");
+                assertEquals(0, a.receivedRequests.size(),
+                        "the disabled backend is disabled in the successor too");
                 assertTrue(second.succeeds("POST /control/backends/a/online"));
                 long deadlineNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
-                for (int i = 0; a.received.isEmpty(); i++) {
+                for (int i = 0; a.receivedRequests.isEmpty(); i++) {
                     call(listen, "again" + i);
                     assertTrue(System.nanoTime() < deadlineNs,
                             "the backend got no request after it was enabled again");
@@ -151,7 +152,7 @@
 
     @Test
     void successorStaysOutOfServiceUntilReturned() throws Exception {
-        ScriptedServer a = ScriptedServer.saying("a");
+        ScriptedServer a = ScriptedServer.respondingWith("a");
         String entry = Rig.entry("a", a.address(), "SERVING");
         InetSocketAddress listen = ProxyProcess.freeAddress();
         try (ReadyProxy first = new ReadyProxy(listen, entry)) {
@@ -175,7 +176,7 @@
 
     @Test
     void firstProcessServesAfterItsSuccessorIsKilled() throws Exception {
-        ScriptedServer a = ScriptedServer.saying("a");
+        ScriptedServer a = ScriptedServer.respondingWith("a");
         String entry = Rig.entry("a", a.address(), "SERVING");
         InetSocketAddress listen = ProxyProcess.freeAddress();
         try (ReadyProxy first = new ReadyProxy(listen, entry)) {
@@ -195,7 +196,7 @@
 
     @Test
     void successorServesAfterTheFirstProcessIsKilled() throws Exception {
-        ScriptedServer a = ScriptedServer.saying("a");
+        ScriptedServer a = ScriptedServer.respondingWith("a");
         String entry = Rig.entry("a", a.address(), "SERVING");
         InetSocketAddress listen = ProxyProcess.freeAddress();
         try (ReadyProxy first = new ReadyProxy(listen, entry);
@@ -212,7 +213,7 @@
 
     @Test
     void proxyStartsDespiteACorruptStateFile() throws Exception {
-        ScriptedServer a = ScriptedServer.saying("a");
+        ScriptedServer a = ScriptedServer.respondingWith("a");
         Files.writeString(stateDirectory.resolve("passhatch-n0-state.json"), "{\"version\":");
         try (ReadyProxy first = new ReadyProxy(ProxyProcess.freeAddress(),
                 Rig.entry("a", a.address(), "SERVING"))) {
