--- a/src/main/java/passhatch/proxy/BackendPool.java
+++ b/src/main/java/passhatch/proxy/BackendPool.java
@@ -44,44 +44,65 @@
 import passhatch.proxy.EventLog.Kind;
 
 /**
- * The connections to the backends. A connection carries one request at a time and is kept for the next.
- * Nothing is ever sent a second time from here, not on a stale connection either: whether to repeat is the
- * module's to decide.
+ * Pool of HTTP/1.1 connections to the backends. A connection carries one request at a time and is then reused
+ * for the next one. The pool never sends a request a second time, not even after a stale connection failed:
+ * only the decision module decides on retries. Not thread-safe: used on the event loop only.
  */
 final class BackendPool {
 
-    /** A backend that takes nothing of a body, or gives nothing of a long answer, for so long hangs. */
+    /**
+     * Time without progress, in microseconds, after which a backend counts as stalled: it reads nothing of a
+     * request body, or sends nothing of a response that is streamed.
+     */
     private static final long MAX_STALL_US = 4_000_000;
-    /** An answer of unknown length is passed on as it comes once it takes longer than this. */
+    /**
+     * Time in milliseconds for which a response of unknown length is buffered. One that takes longer is
+     * streamed to its client.
+     */
     private static final long MAX_BUFFERING_MS = 150;
-    /** An answer of unknown length that is slower than this by its deadline will not come to its end. */
+    /**
+     * Least average rate of a response of unknown length that is still streamed at its deadline. A slower one
+     * is not expected to complete and is given up.
+     */
     private static final long MIN_BYTES_PER_SECOND = 16_000;
-    /** A pace is known after so long. */
+    /** Time in microseconds for which a response is observed before its rate or a pause in it is judged. */
     private static final long MIN_OBSERVATION_US = 400_000;
-    /** Bytes on their way to a peer beyond which no more are read for it. */
+    /**
+     * Low and high limit, in bytes, of data that waits to be written to a peer. Above the high limit no more
+     * is read for that peer until the data has fallen below the low limit.
+     */
     static final WriteBufferWaterMark WRITE_WATER_MARK = new WriteBufferWaterMark(1 << 14, 1 << 15);
+    /** Most bytes that one read from a socket takes. */
     static final int MAX_READ_BYTES = 1 << 15;
-    /** Idle connections kept to one backend: more only fill its table. */
+    /** Most idle connections kept to one backend. More would only use up the backend's connection table. */
     private static final int MAX_IDLE_PER_BACKEND = 8;
-    /** Part of the backends' idle time after which a connection is closed, before they may close it. */
+    /**
+     * Fraction of the backends' idle time-out after which an idle connection is closed here, so that it is
+     * closed before the backend may close it.
+     */
     private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
     /**
-     * How a call ended.
+     * How a request to a backend ended.
      *
-     * @param body of a 200 answer, else null
+     * @param outcome what the response, or the failure, counts as
+     * @param body body of a buffered 200 response; null for any other outcome and for a streamed response
+     * @param report load that the backend reported; null if it reported none
      */
     record Result(Outcome outcome, byte[] body, LoadReport report) {
+        /** A result with neither body nor load report. */
         static Result withoutBody(Outcome outcome) {
             return new Result(outcome, null, null);
         }
     }
 
     /**
-     * A backend: connections stand for its id as well as its address, as another may take the address over.
+     * A backend that connections lead to. Connections are kept apart by id as well as by address, because
+     * another backend may take over an address.
      */
     record Target(String id, InetSocketAddress address) {
-        // Written out: a record's own are put together at run time, just as the first list has come in.
+        // Written out because the equals and hashCode of a record are linked at run time at their first use,
+        // which would delay the handling of the first list of backends.
         @Override
         public boolean equals(Object other) {
             return other instanceof Target target && id.equals(target.id) && address.equals(target.address);
@@ -93,68 +114,81 @@
         }
     }
 
-    /** Hears how a call ended, once. */
+    /** Is notified of the response and the end of one request. */
     interface Listener {
         /**
-         * Its answer is too long to be held, and begins.
+         * Called at most once, when a 200 response is streamed from now on because it is too long to be
+         * buffered, or is of unknown length and slow. By default such a response is not wanted.
          *
-         * @param lengthBytes of the answer, or -1
-         * @param resumeReading called when more may be given after the sink was not writable
-         * @return where it goes; null where it is not wanted
+         * @param lengthBytes length of the response; -1 if unknown
+         * @param resumeReading to be run when the sink can take more after it was not writable
+         * @return receiver of the response; null if the response is not wanted, which cancels the request
          */
         default ResponseSink openSink(long lengthBytes, Runnable resumeReading) {
             return null;
         }
 
+        /** Called exactly once, when the request has ended. */
         void done(Result result);
     }
 
-    /** Where a long answer goes as it comes. */
+    /** Receives the body of a streamed response. */
     interface ResponseSink {
-        /** Takes bytes, and the duty to release them. */
+        /** Takes the next bytes. The sink becomes their owner and must release them. */
         void write(ByteBuf bytes);
 
+        /** Whether more can be written now. If not, reading from the backend pauses. */
         boolean isWritable();
 
-        /** The answer is whole. */
+        /** Called when the response is complete. */
         void end();
 
-        /** It will not come to its end. */
+        /** Called when the response cannot be completed. */
         void fail();
     }
 
-    /** A call that may be given up. */
+    /** Controls a request that has been given to the pool. */
     interface Handle {
-        /** Closes its connection; it ends as cancelled unless it has ended already. */
+        /** Closes the connection and ends the request as cancelled. Does nothing if it has ended. */
         void cancel();
 
-        /** Gives it so long from now. */
+        /**
+         * Replaces the time-out. Once the response is streamed, the old time-out is removed and none is set.
+         *
+         * @param timeoutUs time that is left from now on, in microseconds
+         */
         void setTimeout(long timeoutUs);
 
-        /** Breaks an answer off that is passed on and will not come to its end soon. */
+        /**
+         * Ends the request with its time-out outcome if its response is streamed and is not expected to
+         * complete soon: it is still short enough to have been buffered, or the backend sends no more of it.
+         */
         void abortIfStalled();
     }
 
     /**
-     * What to send.
+     * A request to be sent.
      *
-     * @param messageFactory makes the message, when it can be written: whole, or the head for the body
-     * @param body what follows that head; null where the message is whole
-     * @param stillWanted asked just before it is written: false where it must not be sent any more
-     * @param onWritten called once its last byte is written
-     * @param timeoutUs time that it has; {@link #NO_TIMEOUT} where that is not known yet
-     * @param timeoutOutcome how it ends when its time is up after it was written
+     * @param messageFactory creates the message at the time of writing: a complete request, or only the head
+     *     if a body follows
+     * @param body body that follows the head; null if the message is complete
+     * @param stillWanted asked just before writing; false if the request must not be sent any more
+     * @param onWritten called once the last byte has been handed to the network
+     * @param timeoutUs time in microseconds from sending to the end of the response, connecting included;
+     *     {@link #NO_TIMEOUT} if it is not known yet
+     * @param timeoutOutcome outcome if the time is up after the request was written
      */
     record OutgoingRequest(Supplier<HttpRequest> messageFactory, RequestBody body,
             BooleanSupplier stillWanted, Runnable onWritten, long timeoutUs, Outcome timeoutOutcome) {
 
-        /** Something that is whole. */
+        /** A request whose message is complete. */
         OutgoingRequest(Supplier<HttpRequest> messageFactory, BooleanSupplier stillWanted, Runnable onWritten,
                 long timeoutUs, Outcome timeoutOutcome) {
             this(messageFactory, null, stillWanted, onWritten, timeoutUs, timeoutOutcome);
         }
     }
 
+    /** Time-out in microseconds of a request that has no time-out yet. */
     static final long NO_TIMEOUT = Long.MAX_VALUE;
 
     private final EventLoop loop;
@@ -167,10 +201,12 @@
     private final Set<Connection> openConnections = new HashSet<>();
 
     /**
-     * A pool without connections.
+     * Creates a pool without connections.
      *
-     * @param keepaliveUs after which backends close idle connections; 0 where none may be kept
-     * @param maxOpen connections at a time, so that descriptors are left for the callers
+     * @param connectTimeoutUs time for a connection to be established, in microseconds
+     * @param keepaliveUs time in microseconds after which backends close idle connections; 0 if no connection
+     *     may be kept
+     * @param maxOpen most connections open at a time, so that file descriptors are left for the clients
      */
     BackendPool(EventLoop loop, Clock clock, EventLog log, long connectTimeoutUs, long keepaliveUs,
             int maxOpen) {
@@ -188,7 +224,7 @@
                         (int) Math.max(1, TimeUnit.MICROSECONDS.toMillis(connectTimeoutUs)));
     }
 
-    /** Holds to another number of connections from now on. */
+    /** Changes the limit of open connections and closes idle ones, longest idle first, that exceed it. */
     void setMaxOpen(int newMaxOpen) {
         maxOpen = newMaxOpen;
         for (int excess = openConnections.size() - newMaxOpen; excess > 0; excess--) {
@@ -196,7 +232,10 @@
         }
     }
 
-    /** Closes connections that backends might soon close themselves; to be called now and then. */
+    /**
+     * Closes idle connections that backends might soon close themselves, and connections on which a transfer
+     * has stalled. To be called periodically.
+     */
     void closeStale() {
         long idleSinceLimitUs = clock.nowUs() - maxIdleUs;
         for (Deque<Connection> idleToTarget : idleConnections.values()) {
@@ -209,7 +248,7 @@
                 connection.closeIfStalled(clock.nowUs() - MAX_STALL_US));
     }
 
-    /** Closes the idle connections to a backend. */
+    /** Closes all idle connections to a backend. */
     void closeIdle(Target target) {
         Deque<Connection> idleToTarget = idleConnections.remove(target);
         if (idleToTarget != null) {
@@ -217,7 +256,10 @@
         }
     }
 
-    /** Sends a message to a backend, on a kept connection if there is one. */
+    /**
+     * Sends a request to a backend, on an idle connection if there is one. If the limit of open connections
+     * is reached and no idle one can be closed, the request ends as {@link Outcome#NOT_SENT}.
+     */
     Handle send(Target target, OutgoingRequest request, Listener listener) {
         PendingRequest pending = new PendingRequest(request, listener);
         Connection reused = takeIdle(target);
@@ -225,7 +267,8 @@
             closeLongestIdle();
         }
         if (reused == null && openConnections.size() >= maxOpen) {
-            log.line(Kind.BACKEND, "no connection left for " + target.id() + ": " + openConnections.size()
+            log.line(Kind.BACKEND, "request to " + target.id()
+                    + " was not sent: the connection limit is reached, " + openConnections.size()
                     + " are open");
             loop.execute(() -> pending.complete(Result.withoutBody(Outcome.NOT_SENT)));
             return pending;
@@ -243,7 +286,7 @@
         return pending;
     }
 
-    /** Frees a place for a connection that is needed now. */
+    /** Makes room below the limit of open connections for a new one. */
     private void closeLongestIdle() {
         Connection longestIdle = null;
         for (Deque<Connection> idleToTarget : idleConnections.values()) {
@@ -283,12 +326,13 @@
             }
         }).connect(target.address());
         connection.channel = connecting.channel();
-        // Runs in a later step of the loop even where the connection fails at once.
+        // Deferred to a later task of the event loop, so that the request does not end within this method,
+        // even if connecting fails at once.
         connecting.addListener(connected -> loop.execute(() -> {
             if (connected.isSuccess()) {
                 connection.write(pending);
             } else {
-                // Where no socket could be made there is a channel that never closes.
+                // If no socket could be created, the close future of the channel never completes.
                 openConnections.remove(connection);
                 connection.onConnectionLost();
             }
@@ -296,19 +340,20 @@
         connection.channel.closeFuture().addListener(closed -> openConnections.remove(connection));
     }
 
-    /** One call, from its start to its only result. */
+    /** A request from the time it is given to the pool until its single result. */
     private final class PendingRequest implements Handle {
         final OutgoingRequest request;
         private final Listener listener;
         Connection connection;
         Future<?> timeoutTask;
-        /** All of the message has been handed to the network: from now on it may run. */
+        /** The complete request has been handed to the network: from now on the backend may execute it. */
         boolean fullyWritten;
-        /** Its writing has begun: only now can there be an answer. */
+        /** Writing has started: bytes received before that cannot belong to its response. */
         boolean writeStarted;
         boolean ended;
-        /** The writing of its body, and where its long answer goes; null where there is none. */
+        /** Writes the request body; null if the message is complete. */
         Upload upload;
+        /** Receives the streamed response; null while the response is not streamed. */
         ResponseSink sink;
 
         PendingRequest(OutgoingRequest request, Listener listener) {
@@ -340,14 +385,14 @@
 
         private void onTimeout() {
             if (sink != null && connection.streamedBytes > ResponseReader.MAX_BUFFERED_BYTES) {
-                // It is long, and what has begun to be passed on goes on for as long as it moves.
+                // Too long to have been buffered: it is streamed for as long as it makes progress.
                 return;
             }
             if (sink != null && connection.isNewOrFastEnough()) {
                 timeoutTask = loop.schedule(this::onTimeout, MAX_BUFFERING_MS, TimeUnit.MILLISECONDS);
                 return;
             }
-            // What was never written whole cannot run: the connection did not come up in time.
+            // A request that was not completely written cannot have been executed, so the connection failed.
             giveUp(fullyWritten ? request.timeoutOutcome() : Outcome.CONNECT_FAILED);
         }
 
@@ -375,7 +420,7 @@
         }
     }
 
-    /** The writing of a body as it comes in. */
+    /** Writes a request body to a backend while it is received from the client. */
     private final class Upload implements RequestBody.Receiver {
         private final PendingRequest pending;
         private final Channel channel;
@@ -403,24 +448,32 @@
         }
     }
 
-    /** A connection, and the call that it carries now. */
+    /** A connection and the request that it carries, if any. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Target target;
         private final ResponseDecoder decoder = new ResponseDecoder();
         private ResponseReader reader = new ResponseReader();
-        /** The result of the call, until the loop has read all that came with the answer. */
+        /**
+         * Result of a complete response, until the event loop has processed the bytes received together with
+         * it; null otherwise.
+         */
         private Result pendingResult;
-        /** More has come than the answer. */
+        /** Bytes have been received that do not belong to the response; the connection is not reused. */
         private boolean hasSurplusBytes;
-        /** It broke, and did not end: what came last is not whole. */
+        /**
+         * The connection failed or was closed here, so the end of the stream does not mark the end of a
+         * response.
+         */
         private boolean aborted;
         Channel channel;
+        /** The request that it carries; null if it is idle or its request was given up. */
         PendingRequest pending;
         long idleSinceUs;
-        /** When bytes of a long body or answer last moved. */
+        /** When bytes of a request body or of a streamed response were last transferred. */
         long lastProgressUs;
-        /** Bytes of a long answer passed on, and since when they are. */
+        /** Bytes of the streamed response that were given to its sink. */
         private long streamedBytes;
+        /** When the response started to be streamed. */
         private long streamingSinceUs;
 
         Connection(Target target) {
@@ -433,8 +486,9 @@
         }
 
         /**
-         * Whether it can carry a call. Its end, or a second answer to the call before, may have come in this
-         * turn of the loop and lie unread: so what there is gets read first.
+         * Whether it can carry a request. The socket is read first: a close by the backend, or surplus bytes
+         * after the previous response, may have been received in this iteration of the event loop and not
+         * have been read yet.
          */
         boolean isUsable() {
             if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
@@ -443,7 +497,7 @@
             return channel.isActive();
         }
 
-        /** Writes the message, unless the call has been given up or must not go out any more. */
+        /** Writes a request, unless it was given up or must not be sent any more. */
         void write(PendingRequest toWrite) {
             if (toWrite.ended) {
                 channel.close();
@@ -466,7 +520,10 @@
             }
         }
 
-        /** Hears that the last byte of a call was written. */
+        /**
+         * Returns a listener for the last write of a request. It marks the request as written, or closes the
+         * connection if the write failed.
+         */
         private ChannelFutureListener writeListener(PendingRequest written) {
             return write -> {
                 if (!write.isSuccess()) {
@@ -486,29 +543,42 @@
             }
         }
 
-        /** Guards against a backend that hangs in the middle, where no time-out runs. */
+        /**
+         * Ends a request whose transfer has stalled: while a response is streamed or a body is written, no
+         * time-out of the request may be running.
+         *
+         * @param progressLimitUs the transfer has stalled if its last progress is not later than this
+         */
         void closeIfStalled(long progressLimitUs) {
             if (pending == null || lastProgressUs > progressLimitUs) {
                 return;
             }
             if (pending.sink != null) {
                 if (channel.config().isAutoRead()) {
-                    log.line(Kind.BACKEND, "a long answer from " + target.id() + " does not go on");
+                    log.line(Kind.BACKEND, "streamed response from " + target.id()
+                            + " has stalled; closing the connection");
                     abort();
                 }
             } else if (pending.upload != null && !pending.fullyWritten && !channel.isWritable()) {
-                log.line(Kind.BACKEND, "a body to " + target.id() + " is not taken");
+                log.line(Kind.BACKEND, "backend " + target.id()
+                        + " has stopped reading a request body; closing the connection");
                 pending.giveUp(Outcome.CONNECT_FAILED);
             }
         }
 
-        /** Closes it in the middle: what is in of an answer that ends with its connection is not whole. */
+        /**
+         * Closes the connection during a transfer. A response that is delimited by the end of its connection
+         * must not count as complete then.
+         */
         private void abort() {
             aborted = true;
             channel.close();
         }
 
-        /** The connection is gone: before the last byte was written the request cannot have run. */
+        /**
+         * Ends the request of a lost connection. Unless the request was completely written or its response is
+         * streamed, the backend cannot have executed it.
+         */
         void onConnectionLost() {
             if (pendingResult != null) {
                 return;
@@ -552,7 +622,7 @@
             }
         }
 
-        /** From now on the answer is its client's, as it comes. */
+        /** Starts to stream the response, beginning with the bytes buffered so far. */
         private void startStreaming() {
             ResponseSink sink = pending.listener.openSink(reader.contentLength(), this::resumeReading);
             if (sink == null) {
@@ -563,20 +633,24 @@
             byte[] buffered = reader.takeBufferedBody();
             streamedBytes = buffered.length;
             streamingSinceUs = clock.nowUs();
-            // One that may turn out short is owed by its deadline, as all short ones are.
+            // Only a response known to be long is freed from the deadline: one of unknown length may turn
+            // out short, and short responses are due by the deadline.
             if (pending.timeoutTask != null && reader.contentLength() > ResponseReader.MAX_BUFFERED_BYTES) {
                 pending.timeoutTask.cancel(false);
             }
             writeToSink(Unpooled.wrappedBuffer(buffered));
         }
 
-        /** Whether its long answer has turned out short so far, or its backend gives no more of it. */
+        /**
+         * Whether the streamed response is, as far as known, short enough to have been buffered, or the
+         * backend has stopped sending it although it is being read.
+         */
         private boolean isShortOrStalled() {
             return Math.max(streamedBytes, reader.contentLength()) <= ResponseReader.MAX_BUFFERED_BYTES
                     || channel.config().isAutoRead() && clock.nowUs() - lastProgressUs > MIN_OBSERVATION_US;
         }
 
-        /** Whether an answer of unknown length comes at the pace of a long one, or has only just begun. */
+        /** Whether streaming has only just started or the average rate so far reaches the minimum. */
         private boolean isNewOrFastEnough() {
             long sinceUs = clock.nowUs() - streamingSinceUs;
             return sinceUs < MIN_OBSERVATION_US
@@ -591,7 +665,8 @@
             if (part instanceof HttpContent content && content.content().isReadable()) {
                 streamedBytes += content.content().readableBytes();
                 if (streamedBytes > ResponseReader.MAX_BODY_BYTES) {
-                    log.line(Kind.BACKEND, "an answer from " + target.id() + " does not come to an end");
+                    log.line(Kind.BACKEND, "response from " + target.id()
+                            + " exceeds the size limit; closing the connection");
                     abort();
                     return;
                 }
@@ -617,9 +692,9 @@
         }
 
         /**
-         * Ends the call, in a step of the loop after the one that read the answer. Guards against the answer
-         * of another request: what stands behind an answer must have come in before the connection carries
-         * the next call, or it would pass for the answer to that one.
+         * Ends the request, in a later task of the event loop than the one that read the response. Bytes that
+         * the backend sent after the response must have been noticed before the connection carries the next
+         * request; otherwise they would be taken for the response to that request.
          */
         private void finishRequest() {
             PendingRequest finished = pending;
@@ -630,7 +705,8 @@
                 return;
             }
             if (result.outcome() == Outcome.OK && !finished.fullyWritten && finished.sink == null) {
-                // No backend starts on a request before it has all: nobody knows whose answer this is.
+                // Backends execute a request only once it is complete, so a successful response before that
+                // may belong to another request.
                 result = Result.withoutBody(Outcome.ERROR);
             }
             boolean reusable = !hasSurplusBytes && !decoder.hasUndecodedBytes() && finished.fullyWritten
@@ -667,11 +743,14 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             aborted = true;
-            log.line(Kind.BACKEND, "connection to " + target.address() + ": " + cause);
+            log.line(Kind.BACKEND, "connection to " + target.address() + " failed: " + cause);
             ctx.close();
         }
 
-        /** Sees bytes before they are decoded: none may come where no answer is owed. */
+        /**
+         * Inspects bytes before they are decoded. Bytes that are received while no response is expected are
+         * dropped, and the connection is closed.
+         */
         private final class UnsolicitedBytesGuard extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
@@ -682,7 +761,8 @@
                 ReferenceCountUtil.release(bytes);
                 hasSurplusBytes = true;
                 if (pendingResult == null) {
-                    log.line(Kind.BACKEND, "bytes from " + target.address() + " that nothing asked for");
+                    log.line(Kind.BACKEND, "unsolicited bytes from " + target.address()
+                            + "; closing the connection");
                     ctx.close();
                 }
             }
--- a/src/main/java/passhatch/proxy/Discovery.java
+++ b/src/main/java/passhatch/proxy/Discovery.java
@@ -33,39 +33,55 @@
 import passhatch.proxy.EventLog.Kind;
 
 /**
- * Watches discovery for the list of backends. A watch that ends is taken up again from the last version
- * heard; where discovery will not do that, the whole list is fetched first.
+ * Client of discovery, which keeps the list of backends up to date. It holds one watch open, over which
+ * discovery sends full lists and changes. A watch that ends is resumed from the last version received; if
+ * discovery rejects that version, the full list is fetched first. Not thread-safe: used on the event loop
+ * only.
  */
 final class Discovery {
 
     private static final long INITIAL_RETRY_DELAY_MS = 50;
     private static final long MAX_RETRY_DELAY_MS = 500;
-    /** A call may have to wait for others; after this it is given up. */
+    /**
+     * Longest silence in milliseconds before discovery answers a call. A call may have to wait for the calls
+     * of other clients; after this time it is given up.
+     */
     static final long RESPONSE_TIMEOUT_MS = 4_500;
     /**
-     * An empty line comes every 2 s, so a watch that has begun and misses one by a second is dead. What it
-     * misses counts as told 6 s after it fell silent: that has to hold the time of a second watch too.
+     * Longest silence in milliseconds on an established watch. Discovery sends an empty line every 2 s, so a
+     * watch on which one is a second late is dead. The proxy is expected to know changes that it misses 6 s
+     * after the watch fell silent, so this time has to leave room for opening a second watch.
      */
     static final long WATCH_IDLE_TIMEOUT_MS = 3_000;
-    /** A pause within a list that is longer than this means that its rest will not come. */
+    /** Longest pause in milliseconds within a list; after it the rest is not expected to arrive. */
     private static final long PARTIAL_LIST_TIMEOUT_MS = 500;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     /**
-     * Where the module does the asking, a call is made so long after one that failed, if it has made none: a
-     * change counts as told 6 s after discovery could be reached, however long it was down before. It is
-     * longer than the longest pause of the module.
+     * Longest time in milliseconds between a failed call and the next one if the decision module decides when
+     * to call. If the module has requested no call by then, one is made anyway: the proxy is expected to know
+     * a change 6 s after discovery has become reachable, however long discovery was down. It is longer than
+     * the longest backoff delay of the module, so it takes effect only if the module requests nothing.
      */
     private static final long MAX_MODULE_RETRY_DELAY_MS = 2_600;
-    /** Pauses are drawn between this part of their length and the whole, so that proxies spread out. */
+    /**
+     * Least part of a retry delay that is waited. Delays are drawn at random between this part and the whole,
+     * so that the proxies of a fleet don't all call at the same time.
+     */
     private static final double MIN_DELAY_FRACTION = 0.5;
-    /** What is longer than this is no list of backends. */
+    /** Most bytes of one JSON object or line; anything longer is not a list of backends. */
     private static final int MAX_OBJECT_BYTES = 1 << 22;
 
-    /** Hears what discovery says. */
+    /** Is notified of lists from discovery and of failed calls. */
     interface Listener {
+        /**
+         * Called for each list. A change list without endpoints means that the known list is up to date.
+         */
         void onServerList(EndpointList list);
 
-        /** The call or the watch failed. */
+        /**
+         * Called when a call failed or the address was changed, if the decision module is to decide when to
+         * call next. Otherwise {@link Discovery} retries on its own.
+         */
         void onDiscoveryFailure(DiscoveryFailure failure);
     }
 
@@ -76,14 +92,17 @@
     private final boolean moduleRequestsWatches;
     private final Listener listener;
     private InetSocketAddress address;
+    /** Version of the last list received; a watch resumes from it. */
     private long lastIndex;
+    /** The next call fetches the full list because there is no version to resume from. */
     private boolean needsFullList;
     private long retryDelayMs = INITIAL_RETRY_DELAY_MS;
     private boolean stopped;
+    /** The last call made to the current address; null if there is none. */
     private CallHandler currentCall;
-    /** The watch of the address before, until the present one speaks. */
+    /** The watch of the previous address, until the current address sends a list; null if there is none. */
     private CallHandler previousCall;
-    /** The next call; there is one timer at most, so calls that fail do not multiply. */
+    /** Timer of the next call. There is at most one, so that failed calls do not multiply. */
     private Future<?> scheduledCall;
     private final SplittableRandom random;
     private final DiscoveryCalls calls;
@@ -99,7 +118,7 @@
         this.listener = listener;
         this.moduleRequestsWatches = config.settings().watch();
         this.lastIndex = config.cachedList().index();
-        // A list of version 0 is one to go on from, unless it is none.
+        // Version 0 is a valid version to resume from, unless it stands for an empty list.
         this.needsFullList = lastIndex == 0 && config.cachedList().endpoints().isEmpty();
     }
 
@@ -107,7 +126,10 @@
         return calls;
     }
 
-    /** Starts a watch unless there is one; one that ends is taken up again. */
+    /**
+     * Makes a call unless one is open: opens a watch, or fetches the full list first if there is no version
+     * to resume from. Calls that end are followed by others until {@link #stop}.
+     */
     void ensureWatching() {
         if (stopped || currentCall != null && !currentCall.isOver) {
             return;
@@ -140,18 +162,22 @@
                 loop.execute(() -> onConnectFailed(handler, connecting.cause()));
             }
         }).channel();
-        // A connection that does not come up is closed before it is told why.
+        // If connecting fails, the close future completes before the listener above is notified of the cause.
+        // So the call is finished in a later task, after the cause has been recorded.
         handler.channel.closeFuture().addListener(closed -> loop.execute(() -> finish(handler)));
     }
 
-    /** Where no socket could be made there is a channel that never closes: the call is over here. */
+    /**
+     * Finishes a call whose connection was not established. It can't be left to the close future: if no
+     * socket could be created, that future never completes.
+     */
     private void onConnectFailed(CallHandler handler, Throwable cause) {
         handler.call.setEndIfUnset(DiscoveryCalls.End.NOT_CONNECTED);
         log.line(Kind.DISCOVERY, "discovery: " + cause.getMessage());
         finish(handler);
     }
 
-    /** A call is over, whichever sign of it comes first. */
+    /** Records the end of a call and arranges the next one, once for each call. */
     private void finish(CallHandler handler) {
         if (!handler.isOver) {
             handler.isOver = true;
@@ -165,9 +191,9 @@
     }
 
     /**
-     * Watches another address from now on. Versions of the old address mean nothing to it, so it is asked for
-     * the whole list first. The list held stays until it speaks, and so does the old watch: what that one
-     * still tells would else be lost to this proxy, though it was told.
+     * Watches another address from now on. Versions of the old address are meaningless there, so the full
+     * list is fetched first. Until the new address has sent a list, the current list stays in use and the old
+     * watch stays open, because changes that the old address still sends would otherwise be lost.
      */
     void switchTo(InetSocketAddress newAddress) {
         if (stopped || newAddress.equals(address)) {
@@ -192,6 +218,7 @@
         }
     }
 
+    /** Closes all calls and makes no more. */
     void stop() {
         stopped = true;
         cancelScheduledCall();
@@ -208,6 +235,10 @@
         }
     }
 
+    /**
+     * Arranges what follows a finished call: a watch after the full list was fetched, otherwise a retry after
+     * a delay or on request of the decision module.
+     */
     private void continueAfter(CallHandler handler) {
         if (stopped || handler != currentCall) {
             return;
@@ -225,7 +256,7 @@
         retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
     }
 
-    /** The module hears of it and says when to ask again, within a limit. */
+    /** Leaves it to the decision module when to call again, up to a longest delay. */
     private void reportFailure(DiscoveryFailure failure) {
         scheduleCall(MAX_MODULE_RETRY_DELAY_MS);
         listener.onDiscoveryFailure(failure);
@@ -243,16 +274,18 @@
         }
     }
 
-    /** One answer of discovery: objects of JSON one after the other, or one whole list. */
+    /** Handles the response to one call: a sequence of JSON objects for a watch, or one full list. */
     private final class CallHandler extends SimpleChannelInboundHandler<HttpObject>
             implements JsonObjectSplitter.Listener {
         private final boolean fetchFullList;
         private final JsonObjectSplitter splitter = new JsonObjectSplitter(MAX_OBJECT_BYTES, this);
-        /** Waits for the rest of a list; null where none is coming in. */
+        /** Time-out for the rest of an incomplete list; null if no list is incomplete. */
         private Future<?> partialListTimeout;
         private boolean isStatusOk;
+        /** A list, or the first empty line of a watch, has been received. */
         private boolean hasReceivedMessage;
         private Channel channel;
+        /** This call fetched the full list and received it. */
         private boolean hasFetchedFullList;
         private boolean isOver;
         private final DiscoveryCalls.Call call;
@@ -272,7 +305,7 @@
                 if (!isStatusOk) {
                     call.setEndIfUnset(DiscoveryCalls.End.TURNED_AWAY);
                     log.line(Kind.DISCOVERY, "discovery answered " + response.status());
-                    // It may no longer know the version asked for.
+                    // Discovery may no longer know the requested version.
                     needsFullList |= response.status().code() < 500;
                     ctx.close();
                     return;
@@ -282,7 +315,8 @@
             if (isStatusOk && message instanceof HttpContent content) {
                 if (!splitter.add(content.content())) {
                     call.setEndIfUnset(DiscoveryCalls.End.CLOSED_HERE);
-                    log.line(Kind.DISCOVERY, "discovery: a list does not come to an end");
+                    log.line(Kind.DISCOVERY, "discovery: a list or line exceeds the size limit; "
+                            + "closing the connection");
                     ctx.close();
                     return;
                 }
@@ -295,8 +329,10 @@
         }
 
         /**
-         * Guards against a watch that breaks off within a list: what discovery wrote counts as told from then
-         * on, so the silence between lines is too long to wait for the rest. It was written in one go.
+         * Restarts the time-out for the rest of a list, or stops it if no list is incomplete. The proxy is
+         * expected to know a list from the time discovery writes it, so the time-out for a silent watch is
+         * too long if the watch stalls within a list. Discovery writes each list at once, so a short time-out
+         * suffices.
          */
         private void restartPartialListTimeout(ChannelHandlerContext ctx) {
             if (partialListTimeout != null) {
@@ -304,16 +340,18 @@
             }
             partialListTimeout = !splitter.isInsideObject() ? null : loop.schedule(() -> {
                 call.setEndIfUnset(DiscoveryCalls.End.SILENT);
-                log.line(Kind.DISCOVERY, "discovery: the rest of a list does not come");
+                log.line(Kind.DISCOVERY, "discovery: the rest of a list did not arrive in time; "
+                        + "closing the connection");
                 ctx.close();
             }, PARTIAL_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
+        /** Whether messages of this call still count; calls that were replaced are ignored. */
         private boolean isCurrentOrPrevious() {
             return this == currentCall || this == previousCall;
         }
 
-        /** A watch with nothing to tell says so by an empty line: the list held is up to date. */
+        /** On a watch an empty line means that there are no changes, so the known list is up to date. */
         @Override
         public void onEmptyLine() {
             if (isCurrentOrPrevious()) {
@@ -327,11 +365,11 @@
 
         @Override
         public void onInvalidLine(String line) {
-            logSkippedLine("it is no JSON object");
+            logSkippedLine("not a JSON object");
         }
 
         private void logSkippedLine(String reason) {
-            log.line(Kind.DISCOVERY, "discovery: a line is skipped: " + reason);
+            log.line(Kind.DISCOVERY, "discovery: skipped an invalid message: " + reason);
         }
 
         @Override
@@ -361,7 +399,8 @@
             listener.onServerList(list);
             if (fetchFullList) {
                 call.setEndIfUnset(DiscoveryCalls.End.ANSWERED);
-                // All that was asked for is in, and its end may never come: until then there is no watch.
+                // The full list is complete, but the end of the response may never arrive. The watch is
+                // opened only after this call has ended, so the connection is closed here.
                 channel.close();
             }
         }
@@ -370,7 +409,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             call.setEndIfUnset(cause instanceof ReadTimeoutException ? DiscoveryCalls.End.SILENT
                     : DiscoveryCalls.End.BROKEN);
-            log.line(Kind.DISCOVERY, "discovery: " + cause);
+            log.line(Kind.DISCOVERY, "discovery: the connection failed: " + cause);
             ctx.close();
         }
     }
--- a/src/main/java/passhatch/proxy/DiscoveryCalls.java
+++ b/src/main/java/passhatch/proxy/DiscoveryCalls.java
@@ -8,32 +8,32 @@
 import passhatch.proxy.EventLog.Kind;
 
 /**
- * What became of the calls to discovery: a log line for each call that ends and each list that comes in, and
- * the metrics of both. Times are of the proxy's monotonic clock, in microseconds.
+ * Records the calls to discovery: writes a log line for each call that ends and each list that is received,
+ * and counts both for the metrics. Times are of the proxy's monotonic clock, in microseconds.
  */
 final class DiscoveryCalls {
 
-    /** Servers that a log line on a list names at most. */
+    /** Most servers that the log line of a change list names. */
     private static final int MAX_NAMED_SERVERS = 12;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** How a call ended. */
+    /** How a call ended. The names become metrics and words of log lines. */
     enum End {
-        /** Its list was complete, or its watch ended after it had spoken. */
+        /** The full list that was requested has been received. */
         ANSWERED,
-        /** No connection came up. */
+        /** The connection was not established. */
         NOT_CONNECTED,
-        /** A status other than 200. */
+        /** Discovery answered with a status other than 200. */
         TURNED_AWAY,
-        /** The connection ended before anything was told. */
+        /** The connection failed or was closed, and none of the other reasons applies. */
         BROKEN,
-        /** No byte came for longer than discovery may be silent. */
+        /** Nothing was received for too long: no response, no sign of life, or not the rest of a list. */
         SILENT,
-        /** Given up here: it could not be read, or another address took its place. */
+        /** The proxy closed the connection because a list or line exceeded the size limit. */
         CLOSED_HERE
     }
 
-    /** One call, from its start to its end. */
+    /** One call to discovery, from its start to its end. */
     static final class Call {
         private final long number;
         private final String request;
@@ -46,13 +46,14 @@
             this.startedUs = startedUs;
         }
 
-        /** Notes how the call ends; the first reason stands, as the others follow from it. */
+        /** Sets how the call ends. The first reason is kept, as later ones are consequences of it. */
         void setEndIfUnset(End newEnd) {
             if (end == null) {
                 end = newEnd;
             }
         }
 
+        /** Whether discovery answered with a status other than 200. */
         boolean wasRefused() {
             return end == End.TURNED_AWAY;
         }
@@ -77,25 +78,32 @@
         this.lastMessageUs = clock.nowUs();
     }
 
+    /**
+     * Starts the record of a call.
+     *
+     * @param request what is requested, as log lines name it
+     */
     Call begin(String request) {
         return new Call(++callCount, request, clock.nowUs());
     }
 
-    /** A list, a change or a sign of life has come in. */
+    /** Notes that a list or an empty line was received, so discovery is alive. */
     void recordMessage() {
         lastMessageUs = clock.nowUs();
         consecutiveFailures = 0;
     }
 
-    /** How long ago discovery last spoke, or this process started. */
+    /** Time in microseconds since the last message of discovery, or since this object was created. */
     long sinceLastMessageUs() {
         return clock.nowUs() - lastMessageUs;
     }
 
+    /** Calls since the last message of discovery that ended in any way but {@link End#ANSWERED}. */
     long consecutiveFailures() {
         return consecutiveFailures;
     }
 
+    /** Counts and logs the end of a call. A call without a reason counts as {@link End#BROKEN}. */
     void recordEnd(Call call) {
         call.setEndIfUnset(End.BROKEN);
         callsByEnd.merge(call.end, 1L, Long::sum);
@@ -104,10 +112,10 @@
         }
         log.line(Kind.DISCOVERY, call + " ended: " + call.end + " after "
                 + toMillis(clock.nowUs() - call.startedUs) + " ms; " + consecutiveFailures
-                + " failed in a row, last heard " + toMillis(sinceLastMessageUs()) + " ms ago");
+                + " consecutive failures, last message " + toMillis(sinceLastMessageUs()) + " ms ago");
     }
 
-    /** A list was taken in. */
+    /** Counts and logs the servers of a list that was received. */
     void recordList(Call call, EndpointList list) {
         StringBuilder names = new StringBuilder();
         List<Server> servers = list.servers();
@@ -118,11 +126,11 @@
                 names.append(' ').append(server.id()).append('=').append(server.status());
             }
         }
-        log.line(Kind.DISCOVERY, call + " told list " + list.index() + (list.full() ? " (whole): " : ": ")
+        log.line(Kind.DISCOVERY, call + " told list " + list.index() + (list.full() ? " (full): " : ": ")
                 + servers.size() + " servers" + names + (changedCount > MAX_NAMED_SERVERS ? " ..." : ""));
     }
 
-    /** Adds the metrics, one a line. */
+    /** Adds the metrics of the calls, one per line. */
     void addMetrics(Metrics.Sink lines) {
         lines.add("discovery_calls", callCount);
         for (End end : End.values()) {
--- a/src/main/java/passhatch/proxy/EndpointList.java
+++ b/src/main/java/passhatch/proxy/EndpointList.java
@@ -8,16 +8,18 @@
 import passhatch.Balancer.ServerStatus;
 
 /**
- * One message of discovery.
+ * One message of discovery: a full list of backends, or a list of changes.
  *
- * @param index its version
- * @param full true where it holds the whole list, false where it holds changes
+ * @param index version of the list
+ * @param full true for a full list, false for a list of changes
+ * @param endpoints the backends of the full list, or those that have changed
  */
 record EndpointList(long index, boolean full, List<Endpoint> endpoints) {
 
+    /** The list before anything is known: a full list of version 0 without backends. */
     static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
-    /** A backend and where this proxy reaches it. */
+    /** A backend and the address at which this proxy reaches it. */
     record Endpoint(Server server, InetSocketAddress address) { }
 
     List<Server> servers() {
@@ -25,10 +27,12 @@
     }
 
     /**
-     * Reads a message.
+     * Parses a message.
      *
-     * @throws IllegalArgumentException where any of it is malformed: half a list would pass off the backends
-     *     that it lacks as gone
+     * @param zones names of the zones; a backend refers to its zone by its position in this list
+     * @param machineTypes names of the machine types, referred to in the same way
+     * @throws IllegalArgumentException if any part is malformed. The valid part can't be used alone, because
+     *     backends that are missing from a full list count as gone
      */
     static EndpointList parse(Map<String, Object> json, List<String> zones, List<String> machineTypes) {
         List<Endpoint> endpoints = new ArrayList<>();
--- a/src/main/java/passhatch/proxy/JsonObjectSplitter.java
+++ b/src/main/java/passhatch/proxy/JsonObjectSplitter.java
@@ -5,39 +5,50 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Finds the JSON objects in what discovery sends, wherever lines and reads cut them. Netty's decoder for such
- * streams gives up at the first byte outside an object, and tells nothing of empty lines; here such a line is
- * passed over, and an empty one is a sign of life.
+ * Splits the stream of discovery into JSON objects, wherever line breaks and reads divide them. Netty's
+ * JsonObjectDecoder is not used because it fails at the first byte outside an object and does not report
+ * empty lines. Here text outside an object is skipped up to the end of its line, and an empty line is
+ * reported as a sign of life.
  */
 final class JsonObjectSplitter {
 
-    /** Hears what is in. */
+    /** Is notified of what the stream contains. */
     interface Listener {
+        /** Called for each complete JSON object. */
         void onObject(String json);
 
+        /** Called for each line that contains nothing but white space. */
         void onEmptyLine();
 
-        /** A line, or what is in of it, that holds no object. */
+        /** Called for text outside an object, up to the end of its line, and for an incomplete object. */
         void onInvalidLine(String line);
     }
 
     private final Listener listener;
     private final int maxBytes;
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
-    /** Brackets that are open; within an object it is above 0. */
+    /** Number of open braces and brackets; 0 outside an object. */
     private int depth;
     private boolean inString;
     private boolean escaped;
     private boolean inInvalidLine;
     private boolean lineIsEmpty = true;
 
-    /** A splitter that takes no object, and no line, longer than so many bytes. */
+    /**
+     * Creates a splitter at the start of a stream.
+     *
+     * @param maxBytes most bytes of one object or invalid line
+     */
     JsonObjectSplitter(int maxBytes, Listener listener) {
         this.maxBytes = maxBytes;
         this.listener = listener;
     }
 
-    /** Takes more bytes; false where what is in has grown too long to be an object. */
+    /**
+     * Reads all bytes, or as many as the limit allows.
+     *
+     * @return false if an object or invalid line exceeds the limit; the stream is of no more use then
+     */
     boolean add(ByteBuf bytes) {
         while (bytes.isReadable()) {
             byte next = bytes.readByte();
@@ -53,12 +64,12 @@
         return true;
     }
 
-    /** Whether an object has begun that is not whole. */
+    /** Whether the bytes read so far end inside an object. */
     boolean isInsideObject() {
         return depth > 0;
     }
 
-    /** Nothing more comes. */
+    /** Must be called at the end of the stream; reports an incomplete object or line. */
     void end() {
         if (depth > 0 || inInvalidLine) {
             listener.onInvalidLine(takeBuffer());
--- a/src/test/java/passhatch/proxy/BackendPoolTest.java
+++ b/src/test/java/passhatch/proxy/BackendPoolTest.java
@@ -35,7 +35,7 @@
 import passhatch.proxy.BackendPool.Result;
 import passhatch.proxy.BackendPool.Target;
 
-/** The pool against scripted backends: what each way to end on the wire counts as. */
+/** Tests of the pool with scripted backends: connection reuse, and the outcome of each way a request ends. */
 @Timeout(60)
 final class BackendPoolTest {
 
@@ -80,7 +80,7 @@
 
     private Result nextResult() throws InterruptedException {
         Result result = results.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        assertNotNull(result, "no result came");
+        assertNotNull(result, "no request has ended");
         return result;
     }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    /** An answer that is spoilt ends its call though the connection stays open, and carries no other. */
+    /** A malformed response must fail its request at once, though the backend keeps the connection open. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\nx",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\nzz\r\n",
@@ -153,13 +153,13 @@
                 + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"))) {
             assertEquals("good", sendAndGetBody(backend.address()));
             assertEquals("good", sendAndGetBody(backend.address()));
-            assertEquals(1, backend.connectionCount.get(), "the connection is kept");
+            assertEquals(1, backend.connectionCount.get(), "the connection is reused");
         }
     }
 
     /**
-     * What stands behind a good answer must not pass for the answer of the call that follows at once: the
-     * connection is not used again.
+     * Bytes after a complete response must not be read as the response to a request that follows at once: the
+     * connection is not reused.
      */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond", "noi", "noise\r\n\r\n"})
@@ -183,7 +183,7 @@
         }
     }
 
-    /** Bytes that come while nothing is asked end the connection. */
+    /** An idle connection on which bytes are received must be closed. */
     @Test
     void idleConnectionIsClosedOnUnsolicitedBytes() throws Exception {
         BlockingQueue<HttpTestConnection> respondedConnections = new LinkedBlockingQueue<>();
@@ -197,14 +197,18 @@
         }
     }
 
-    /** It is taken in the turn in which its end, or a second answer, has come in unread. */
+    /**
+     * A request is sent in an iteration of the event loop in which the close of an idle connection, or
+     * surplus bytes on it, have been received but not been read. The request must get a new connection.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset", "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond",
         "HTTP/1.1 2", "\n"})
     void idleConnectionIsReadBeforeReuse(String event) throws Exception {
         CountDownLatch loopBusy = new CountDownLatch(1);
         CountDownLatch happened = new CountDownLatch(1);
-        // By the thread that reads there: closed by another while it reads, a socket is let go of only later.
+        // The script acts on the thread that reads the connection: a socket that another thread closes during
+        // a read is released only later.
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
             connection.respond("200 OK", "own");
             loopBusy.await();
@@ -226,7 +230,7 @@
         }
     }
 
-    /** The same in the turn in which it is closed as idle: the next call has a connection of its own. */
+    /** The same while the connection is closed as idle: the next request gets a new connection. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 2", "\n"})
     void bytesReceivedWhileClosingIdleConnectionAreIgnored(String unsolicited) throws Exception {
@@ -250,7 +254,7 @@
         }
     }
 
-    /** Another backend at the address of one that has gone starts on connections of its own. */
+    /** A backend that takes over the address of another one must not get that one's connections. */
     @Test
     void anotherBackendAtTheAddressGetsItsOwnConnections() throws Exception {
         try (ScriptedServer backend = ScriptedServer.respondingWith("x")) {
@@ -278,7 +282,7 @@
         assertEquals(Outcome.CONNECT_FAILED, sendAndGetOutcome(unusedAddress));
     }
 
-    /** The time-out covers connecting, and what was never written cannot have run. */
+    /** The time-out includes connecting, and a request that was never written cannot have been executed. */
     @Test
     void connectTimeoutIsAConnectFailure() throws Exception {
         try (ServerSocket fullBacklog = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -321,7 +325,7 @@
             send(backend.address(), false, LONG_TIMEOUT_US);
             assertEquals(Outcome.NOT_SENT, nextOutcome());
             assertEquals(Outcome.OK, sendAndGetOutcome(backend.address()));
-            assertEquals(1, backend.connectionCount.get(), "the connection is kept for the next call");
+            assertEquals(1, backend.connectionCount.get(), "the connection is kept for the next request");
             assertEquals(1, backend.receivedRequests.size());
         }
     }
@@ -335,7 +339,10 @@
         }
     }
 
-    /** A kept connection that the backend ends on the next request: that request may have run. */
+    /**
+     * The backend resets an idle connection on the next request. That request may have been executed, so the
+     * pool must not send it again.
+     */
     @Test
     void requestOnAStaleConnectionIsAResetAndNotRetried() throws Exception {
         try (ScriptedServer backend = new ScriptedServer((connection, request) -> {
--- a/src/test/java/passhatch/proxy/DiscoveryTest.java
+++ b/src/test/java/passhatch/proxy/DiscoveryTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lists as discovery may send them, and watches as they may end. */
+/** Tests of the forms in which discovery may send lists, and of the ways in which its calls may fail. */
 @Timeout(60)
 final class DiscoveryTest {
 
@@ -46,7 +46,7 @@
         return Rig.entry(name, backend.address(), "SERVING");
     }
 
-    /** The same list with each member on a line of its own, indented. */
+    /** The same JSON, spread over indented lines. */
     private static String indented(String list) {
         return list.replace("{", "{\n  ").replace(",", ",\n    ").replace("}", "\n}").replace("[", "[\n\t")
                 .replace("]", "\r\n  ]");
@@ -61,7 +61,8 @@
                 servingEntry("t", backendRespondingWith("b")))));
         rig.discoveryLines.add(Rig.END_OF_WATCH);
         assertTrue(rig.discovery().nextRequest().startLine().contains("from=7"));
-        assertTrue(rig.discovery().nextRequest().startLine().contains("from=9"), "all of it counts as heard");
+        assertTrue(rig.discovery().nextRequest().startLine().contains("from=9"),
+                "the watch resumes after the indented list");
         assertEquals("b", rig.call(Rig.get("q", "")).text());
     }
 
@@ -78,7 +79,7 @@
         assertEquals("b", rig.call(Rig.get("q", "")).text());
     }
 
-    /** Brackets, quotes and escapes within a text are no structure, and a read may end within a character. */
+    /** Brackets, quotes and escapes in strings are not structure, and a read may end within a character. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7})
     void listSplitIntoChunksOfAnySizeIsParsed(int chunkBytes) throws Exception {
@@ -100,7 +101,10 @@
         }
     }
 
-    /** What is open to the process before is of no use; at the latest the first call would find it broken. */
+    /**
+     * A later start time means that the backend process was replaced. Connections to the old process are of
+     * no use: the first request on one would fail.
+     */
     @Test
     void restartedBackendGetsNewConnections() throws Exception {
         ScriptedServer backend = backendRespondingWith("a");
@@ -113,7 +117,11 @@
         assertEquals(2, backend.connectionCount.get());
     }
 
-    /** How a watch may end with no word: each is opened anew, and the list held meanwhile stands. */
+    /**
+     * Ways in which a watch fails or stalls before it has sent a list: no response, no or half a list, a
+     * reset, an end, an error status. Each time the watch must be opened again, and the known list stays in
+     * use meanwhile.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"index\":\r\n", "lines", "reset", "end",
@@ -149,14 +157,15 @@
     }
 
     /**
-     * It told something, and then nothing, not even empty lines. What it misses counts as told 6 s after that
-     * and binds 2.5 s later at the most: by then a second watch may have failed to answer, too.
+     * A watch sends a list and then nothing, not even empty lines. The proxy is expected to know a change
+     * that it misses 6 s after the watch fell silent, and must act on it at most 2.5 s later. By then a
+     * second watch may have gone unanswered, too.
      */
     @Test
     void watchSilentAfterItsFirstListIsReopenedSooner() throws Exception {
         long maxDelayMs = 750;
         assertTrue(Discovery.WATCH_IDLE_TIMEOUT_MS + maxDelayMs + Discovery.RESPONSE_TIMEOUT_MS < 8_500);
-        assertTrue(Discovery.WATCH_IDLE_TIMEOUT_MS >= 2_900, "a line may be late");
+        assertTrue(Discovery.WATCH_IDLE_TIMEOUT_MS >= 2_900, "an empty line, due every 2 s, may be late");
         ScriptedServer backend = backendRespondingWith("a");
         BlockingQueue<Long> callTimesNs = new LinkedBlockingQueue<>();
         try (ScriptedServer discovery = new ScriptedServer((connection, request) -> {
@@ -172,8 +181,8 @@
     }
 
     /**
-     * The first answer to a call is the whole list, and lacks backends that drain: they get nothing new, what
-     * they have is finished there, and one that comes back is used again.
+     * A full list leaves out backends that are draining. Such a backend must get no new requests, may finish
+     * those in flight, and is used again once a list names it.
      */
     @Test
     void backendMissingFromAFullListGetsNothingNew() throws Exception {
@@ -205,8 +214,9 @@
     }
 
     /**
-     * Where it is asked: the module asks twice at once, and then leaves off, as where its pauses have grown
-     * in a long outage. One call is made at a time, and after each that failed another within a second or so.
+     * The module decides when to call discovery. It requests two watches at once for each list, and none
+     * after a failure, as if its backoff delay had grown in a long outage. Only one call may be open at a
+     * time, and each failed call must still be followed by another within a few seconds.
      */
     @Test
     void failedCallIsRetriedInTimeWithoutTheModule() throws Exception {
@@ -231,11 +241,11 @@
         })) {
             rig.startWithDiscovery(discovery.address());
             assertEquals(4, callCount.get());
-            assertEquals(4, discovery.connectionCount.get(), "one call at a time");
+            assertEquals(4, discovery.connectionCount.get(), "only one call may be open at a time");
         }
     }
 
-    /** Two calls of each proxy of a fleet at its start would be one too many. */
+    /** Fetching the full list first would double the calls that a fleet makes to discovery when it starts. */
     @Test
     void cachedListOfVersionZeroIsWatchedFromThere() throws Exception {
         ScriptedServer backend = backendRespondingWith("a");
@@ -249,8 +259,9 @@
     }
 
     /**
-     * Each refusal is followed by one call, later each time. Were a timer of the call before left running,
-     * both would call, and a fleet would hold discovery in the state in which it refuses.
+     * Each refused call is followed by one other, with a growing delay. If the timer of an earlier call were
+     * left running, both would make calls, and a fleet would keep discovery in the overload that makes it
+     * refuse calls.
      */
     @Test
     void refusedCallsBackOff() throws Exception {
@@ -273,7 +284,10 @@
         }
     }
 
-    /** What is written counts as told, so this cannot wait for the 4.5 s that a silent watch is given. */
+    /**
+     * The proxy is expected to know a list from the time discovery writes it, so a watch that stalls within a
+     * list cannot wait for the 4.5 s that an unanswered call is given.
+     */
     @Test
     void watchStalledWithinAListIsReopenedAtOnce() throws Exception {
         BlockingQueue<Long> callTimesNs = new LinkedBlockingQueue<>();
@@ -287,7 +301,7 @@
         }
     }
 
-    /** The list is whole, its answer is not: the watch must not wait for that. */
+    /** A full list is received in a response that does not end. The watch must not wait for that end. */
     @Test
     void watchStartsBeforeTheEndOfTheFullListResponse() throws Exception {
         ScriptedServer backend = backendRespondingWith("a");
--- a/src/test/java/passhatch/proxy/ScriptedServer.java
+++ b/src/test/java/passhatch/proxy/ScriptedServer.java
@@ -11,15 +11,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import passhatch.proxy.HttpTestConnection.Message;
 
-/** A small backend, or discovery, on loopback that does with each request what its script says. */
+/** A server on the loopback interface, backend or discovery, that handles each request by its script. */
 final class ScriptedServer implements Closeable {
 
-    /** What to do with one request. */
+    /** Handles the requests that the server receives. */
     interface Script {
+        /** Handles one request, on the thread that reads its connection. */
         void handle(HttpTestConnection connection, Message request) throws IOException, InterruptedException;
     }
 
-    /** Leaves the request without an answer. */
+    /** Leaves each request without a response. */
     static final Script NO_RESPONSE = (connection, request) -> { };
 
     final BlockingQueue<Message> receivedRequests = new LinkedBlockingQueue<>();
@@ -34,7 +35,7 @@
         startDaemonThread(this::accept);
     }
 
-    /** A backend that answers every request with its own text. */
+    /** A backend that responds to every request with status 200 and the given text. */
     static ScriptedServer respondingWith(String text) throws IOException {
         return new ScriptedServer((connection, request) -> connection.respond("200 OK", text));
     }
@@ -43,19 +44,27 @@
         return (InetSocketAddress) serverSocket.getLocalSocketAddress();
     }
 
-    /** The next request received. */
+    /**
+     * Waits for the next request and returns it.
+     *
+     * @throws AssertionError if none is received in time
+     */
     Message nextRequest() throws InterruptedException {
         Message message = receivedRequests.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (message == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request was received");
         }
         return message;
     }
 
-    /** Waits until the other side has ended a connection. */
+    /**
+     * Waits until a connection has been closed or has failed, and its reader has noticed.
+     *
+     * @throws AssertionError if that does not happen in time
+     */
     void awaitClosedConnection() throws InterruptedException {
         if (closedConnections.poll(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS) == null) {
-            throw new AssertionError("no connection was ended");
+            throw new AssertionError("no connection was closed");
         }
     }
 
@@ -67,7 +76,7 @@
                 startDaemonThread(() -> serve(connection));
             }
         } catch (IOException closed) {
-            // The test is over.
+            // The test has closed the server socket.
         }
     }
 
@@ -78,11 +87,12 @@
                 script.handle(connection, message);
             }
         } catch (IOException | InterruptedException broken) {
-            // Tests look at what was received, not at how connections break.
+            // Tests check what was received, not how connections fail.
         }
         closedConnections.add(connection);
     }
 
+    /** Runs the body on a new thread that does not keep the test process alive. */
     static void startDaemonThread(Runnable body) {
         Thread thread = new Thread(body);
         thread.setDaemon(true);
