--- a/lab/src/main/java/passhatch/lab/AllCommand.java
+++ b/lab/src/main/java/passhatch/lab/AllCommand.java
@@ -16,18 +16,18 @@
 
     @Override
     public Integer call() throws Exception {
-        Results results = options.results("scale");
-        Progress progress = new Progress();
-        List<Part> parts = List.of(
+        Results results = options.createResults("scale");
+        ProgressLog progress = new ProgressLog();
+        List<ScaleTest> scaleTests = List.of(
                 new ModuleCommand(),
                 new FleetCommand(),
                 new ControlCommand(),
                 new LatencyCommand());
-        for (Part part : parts) {
-            CommandLine.populateCommand(part);
-            part.measure(options, results, progress);
+        for (ScaleTest scaleTest : scaleTests) {
+            CommandLine.populateCommand(scaleTest);
+            scaleTest.measure(options, results, progress);
         }
-        progress.say("done");
+        progress.print("done");
         return 0;
     }
 }
--- a/lab/src/main/java/passhatch/lab/ControlCommand.java
+++ b/lab/src/main/java/passhatch/lab/ControlCommand.java
@@ -17,10 +17,10 @@
 /** Measures the control path: simulated proxies that watch a stand-in discovery over loopback sockets. */
 @Command(name = "control", mixinStandardHelpOptions = true,
         description = "The control path: what watches, changes and watches opened anew cost.")
-final class ControlCommand implements Callable<Integer>, Part {
+final class ControlCommand implements Callable<Integer>, ScaleTest {
 
-    private static final Duration LONGEST_WAIT = Duration.ofSeconds(3);
-    private static final int LONGEST_QUEUE = 4_096;
+    private static final Duration MAX_CALL_WAIT = Duration.ofSeconds(3);
+    private static final int MAX_QUEUED_CALLS = 4_096;
 
     @Mixin
     private RunOptions options;
@@ -33,23 +33,23 @@
 
     @Option(names = "--burst", defaultValue = "50", paramLabel = "N",
             description = "backends that change at once (default: ${DEFAULT-VALUE})")
-    private int burst;
+    private int burstSize;
 
     @Option(names = "--loops", defaultValue = "2", paramLabel = "N",
             description = "event loops of the proxies (default: ${DEFAULT-VALUE})")
-    private int loops;
+    private int eventLoops;
 
     @Option(names = "--call-us", defaultValue = "200", paramLabel = "US",
             description = "time that discovery takes for a call (default: ${DEFAULT-VALUE})")
-    private long callUs;
+    private long callCostUs;
 
     @Option(names = "--line-us", defaultValue = "4", paramLabel = "US",
             description = "and for each line of its answer (default: ${DEFAULT-VALUE})")
-    private long lineUs;
+    private long lineCostUs;
 
     @Option(names = "--pushed",
             description = "proxies take discovery for one that pushes, and repeat calls without the module")
-    private boolean pushed;
+    private boolean listsPushed;
 
     /** So that picocli names the option at fault. */
     private static final class SizeConverter implements ITypeConverter<WatchSize> {
@@ -61,25 +61,30 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        measure(options, options.results("control"), new Progress());
+        measure(options, options.createResults("control"), new ProgressLog());
         return 0;
     }
 
     @Override
-    public void measure(RunOptions run, Results results, Progress progress)
+    public void measure(RunOptions runOptions, Results results, ProgressLog progress)
             throws IOException, InterruptedException {
         results.note("Control path: sizes are watches x lines of the list. Simulated proxies (the real loop, "
                 + "discovery client and module) and the stand-in discovery share one process; processor time "
                 + "is that of their event loops' threads. Bytes are those of HTTP, without TCP's own. "
-                + "Discovery " + (pushed ? "counts as one that pushes. " : "is asked, as the module says. ")
+                + "Discovery " + (listsPushed ? "counts as one that pushes. "
+                : "is asked, as the module says. ")
                 + "JVM flags: " + ManagementFactory.getRuntimeMXBean().getInputArguments() + ".");
-        results.note("Assumed: discovery takes " + callUs + " us for a call and " + lineUs + " us for each "
-                + "line, one call after another; a call waits " + LONGEST_WAIT.toSeconds() + " s at most, in "
-                + "a queue of " + LONGEST_QUEUE + ". Changes go to open watches at once. After the outage "
+        results.note("Assumed: discovery takes " + callCostUs + " us for a call and " + lineCostUs
+                + " us for each "
+                + "line, one call after another; a call waits " + MAX_CALL_WAIT.toSeconds()
+                + " s at most, in "
+                + "a queue of " + MAX_QUEUED_CALLS + ". Changes go to open watches at once. After the outage "
                 + "its history is lost.");
-        CallCosts costs = new CallCosts(Duration.of(callUs, ChronoUnit.MICROS),
-                Duration.of(lineUs, ChronoUnit.MICROS), LONGEST_WAIT, LONGEST_QUEUE);
-        ControlTrial.Plan plan = new ControlTrial.Plan(run.runs, burst, costs, loops, pushed, run.seed);
-        new ControlTrial(plan, results, progress::say).run(sizes);
+        CallCosts costs = new CallCosts(Duration.of(callCostUs, ChronoUnit.MICROS),
+                Duration.of(lineCostUs, ChronoUnit.MICROS), MAX_CALL_WAIT, MAX_QUEUED_CALLS);
+        ControlTrial.Plan plan =
+                new ControlTrial.Plan(runOptions.runs, burstSize, costs, eventLoops, listsPushed,
+                runOptions.seed);
+        new ControlTrial(plan, results, progress::print).run(sizes);
     }
 }
--- a/lab/src/main/java/passhatch/lab/FleetCommand.java
+++ b/lab/src/main/java/passhatch/lab/FleetCommand.java
@@ -7,8 +7,8 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
-import passhatch.lab.Pairings.Move;
-import passhatch.lab.Scenario.Figure;
+import passhatch.lab.FleetSubsets.ChangeEffect;
+import passhatch.lab.Scenario.Measurement;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -16,107 +16,119 @@
 /** Measures what many instances of the module do together, in simulated time. */
 @Command(name = "fleet", mixinStandardHelpOptions = true,
         description = "The fleet in simulated time: pairings, cold and failing servers, the loss of a zone.")
-final class FleetCommand implements Callable<Integer>, Part {
+final class FleetCommand implements Callable<Integer>, ScaleTest {
 
     /** Copies x servers beyond which pairings are observed in one run only. */
-    private static final long ONE_RUN_BEYOND = 1_000_000;
+    private static final long SINGLE_RUN_ABOVE_PAIRS = 1_000_000;
 
     @Mixin
     private RunOptions options;
 
-    @Option(names = "--sizes", split = ",", converter = Size.Converter.class, paramLabel = "CxS",
+    @Option(names = "--sizes", split = ",", converter = FleetSize.Converter.class, paramLabel = "CxS",
             defaultValue = "100x30,100x300,300x1000,1000x300,1000x3000,3000x3000,1000x19000,19000x19000",
             description = "copies x servers (default: ${DEFAULT-VALUE})")
-    private List<Size> sizes;
+    private List<FleetSize> sizes;
 
     @Option(names = "--observe-up-to", defaultValue = "10000000", paramLabel = "N",
             description = "copies times servers up to which the pairings of every copy are observed; beyond, "
                     + "of a sample (default: ${DEFAULT-VALUE})")
-    private long observeUpTo;
+    private long maxObservedPairs;
 
     @Option(names = "--others", defaultValue = "15", paramLabel = "N",
             description = "servers that a sampled copy does not use and is shown to change: what moves fewer "
-                    + "than 1 in " + Pairings.SAMPLED_COPIES + " N such copies stays unseen "
+                    + "than 1 in " + FleetSubsets.SAMPLED_REPLICAS + " N such copies stays unseen "
                     + "(default: ${DEFAULT-VALUE})")
-    private int others;
+    private int unusedServersChanged;
 
     @Option(names = "--play-up-to", defaultValue = "1000000", paramLabel = "N",
             description = "copies times servers up to which traffic is played, some 400 bytes each, times "
                     + "cores (default: ${DEFAULT-VALUE})")
-    private long playUpTo;
+    private long maxTrafficPairs;
 
     @Override
     public Integer call() {
-        measure(options, options.results("fleet"), new Progress());
+        measure(options, options.createResults("fleet"), new ProgressLog());
         return 0;
     }
 
     @Override
-    public void measure(RunOptions run, Results results, Progress progress) {
+    public void measure(RunOptions runOptions, Results results, ProgressLog progress) {
         results.note("Sizes are copies x servers. Pairings: a copy uses a server, as seen by its sends; each "
                 + "changed server of each run counts as a run. Traffic: Poisson arrivals, "
-                + Fleet.UTILISATION + " of the servers' time, a mean of " + Fleet.MEAN_WORK_US / 1e6
+                + SimulatedFleet.UTILISATION + " of the servers' time, a mean of "
+                + SimulatedFleet.MEAN_WORK_US / 1e6
                 + " s of work on one of " + SimulatedServer.CORES + " cores, clients that try once.");
-        for (Size size : sizes) {
-            long runs = size.cells() > ONE_RUN_BEYOND ? 1 : run.runs;
-            progress.say("fleet, pairings, " + size);
-            addPairings(results, size, LongStream.range(run.seed, run.seed + runs)
-                    .mapToObj(seed -> new Pairings(size, seed, observeUpTo, others)).toList());
-            if (size.cells() > playUpTo) {
-                results.note("Traffic at " + size + " was left out: beyond --play-up-to " + playUpTo + ".");
+        for (FleetSize size : sizes) {
+            long runs = size.pairCount() > SINGLE_RUN_ABOVE_PAIRS ? 1 : runOptions.runs;
+            progress.print("fleet, pairings, " + size);
+            addSubsetResults(results, size, LongStream.range(runOptions.seed, runOptions.seed + runs)
+                    .mapToObj(seed -> new FleetSubsets(size, seed, maxObservedPairs, unusedServersChanged))
+                    .toList());
+            if (size.pairCount() > maxTrafficPairs) {
+                results.note("Traffic at " + size + " was left out: beyond --play-up-to " + maxTrafficPairs
+                        + ".");
             } else {
-                progress.say("fleet, traffic, " + size);
-                addTraffic(results, size, run);
+                progress.print("fleet, traffic, " + size);
+                addTrafficResults(results, size, runOptions);
             }
         }
     }
 
-    private void addPairings(Results results, Size size, List<Pairings> runs) {
-        String at = size.toString();
-        results.add("servers that a copy uses", at, "", each(runs, Pairings::subsetSize));
-        results.add("copies that keep their servers over a restart", at, "",
-                each(runs, Pairings::keptOverRestart));
-        if (runs.get(0).whole()) {
-            results.add("busiest server / mean, pairings", at, "", each(runs, Pairings::busiestByPairings));
-            results.add("busiest server / mean, calls", at, "", each(runs, Pairings::busiestByCalls));
+    private void addSubsetResults(Results results, FleetSize size, List<FleetSubsets> runs) {
+        String sizeText = size.toString();
+        results.add("servers that a copy uses", sizeText, "", valuesOf(runs, FleetSubsets::subsetSize));
+        results.add("copies that keep their servers over a restart", sizeText, "",
+                valuesOf(runs, FleetSubsets::keptAcrossRestart));
+        if (runs.get(0).allObserved()) {
+            results.add("busiest server / mean, pairings", sizeText, "",
+                    valuesOf(runs, FleetSubsets::maxToMeanPairings));
+            results.add("busiest server / mean, calls", sizeText, "",
+                    valuesOf(runs, FleetSubsets::maxToMeanCalls));
         } else {
-            int sample = Pairings.SAMPLED_COPIES;
-            results.note("Pairings at " + size + ": estimated from " + sample + " copies, each shown changes "
-                    + "of servers that it uses and of " + others + " others. What moves fewer than 1 in "
-                    + sample * others + " of the copies that do not use the server may be unseen. The "
+            int sampledReplicas = FleetSubsets.SAMPLED_REPLICAS;
+            results.note("Pairings at " + size + ": estimated from " + sampledReplicas
+                    + " copies, each shown changes "
+                    + "of servers that it uses and of " + unusedServersChanged
+                    + " others. What moves fewer than 1 in "
+                    + sampledReplicas * unusedServersChanged
+                    + " of the copies that do not use the server may be unseen. The "
                     + "busiest server was left out.");
         }
-        for (Change change : Change.values()) {
-            String name = "server " + change.name().toLowerCase(Locale.ROOT) + ": ";
-            List<Move> moves = runs.stream().flatMap(r -> r.moves(change).stream()).toList();
-            results.add(name + "copies that use it", at, "", each(moves, Move::users));
-            results.add(name + "new pairings", at, "", each(moves, Move::fresh));
-            results.add(name + "new pairings when over", at, "", each(moves, Move::freshAfter));
-            results.add(name + "new pairings / copies that use it", at, "", each(moves, Move::ratio));
-            results.add(name + "pairings that are back after", at, "", each(moves, Move::returned));
+        for (ServerChange change : ServerChange.values()) {
+            String prefix = "server " + change.name().toLowerCase(Locale.ROOT) + ": ";
+            List<ChangeEffect> effects = runs.stream().flatMap(r -> r.effects(change).stream()).toList();
+            results.add(prefix + "copies that use it", sizeText, "", valuesOf(effects, ChangeEffect::users));
+            results.add(prefix + "new pairings", sizeText, "", valuesOf(effects, ChangeEffect::newPairings));
+            results.add(prefix + "new pairings when over", sizeText, "",
+                    valuesOf(effects, ChangeEffect::newPairingsAfter));
+            results.add(prefix + "new pairings / copies that use it", sizeText, "",
+                    valuesOf(effects, ChangeEffect::newPairingsPerUser));
+            results.add(prefix + "pairings that are back after", sizeText, "",
+                    valuesOf(effects, ChangeEffect::returnedShare));
         }
     }
 
-    private static <T> double[] each(List<T> of, ToDoubleFunction<T> value) {
-        return of.stream().mapToDouble(value).toArray();
+    private static <T> double[] valuesOf(List<T> items, ToDoubleFunction<T> value) {
+        return items.stream().mapToDouble(value).toArray();
     }
 
-    private static void addTraffic(Results results, Size size, RunOptions run) {
-        List<Scenario> scenarios = new ArrayList<>(List.of(new ColdServers(), new ZoneLoss()));
+    private static void addTrafficResults(Results results, FleetSize size, RunOptions runOptions) {
+        List<Scenario> scenarios = new ArrayList<>(List.of(new SlowStartScenario(), new ZoneLossScenario()));
         for (int oneIn : new int[] {10, 4}) {
-            for (SimulatedServer.State how : SimulatedServer.State.FAILURES) {
-                scenarios.add(new FailingServers(oneIn, how));
+            for (SimulatedServer.State failure : SimulatedServer.State.FAILURES) {
+                scenarios.add(new FailingServersScenario(oneIn, failure));
             }
         }
-        List<List<Figure>> played = IntStream.range(0, scenarios.size() * run.runs).parallel()
-                .mapToObj(i -> scenarios.get(i / run.runs).play(size, run.seed + i % run.runs)).toList();
-        for (int i = 0; i < played.size(); i += run.runs) {
-            List<List<Figure>> runs = played.subList(i, i + run.runs);
-            for (int f = 0; f < runs.get(0).size(); f++) {
-                int number = f;
-                Figure first = runs.get(0).get(f);
+        List<List<Measurement>> outcomes = IntStream.range(0, scenarios.size() * runOptions.runs).parallel()
+                .mapToObj(i -> scenarios.get(i / runOptions.runs).run(size,
+                runOptions.seed + i % runOptions.runs)).toList();
+        for (int i = 0; i < outcomes.size(); i += runOptions.runs) {
+            List<List<Measurement>> runs = outcomes.subList(i, i + runOptions.runs);
+            for (int position = 0; position < runs.get(0).size(); position++) {
+                int index = position;
+                Measurement first = runs.get(0).get(position);
                 results.add(first.name(), size.toString(), first.unit(),
-                        each(runs, figures -> figures.get(number).value()));
+                        valuesOf(runs, measurements -> measurements.get(index).value()));
             }
         }
     }
--- a/lab/src/main/java/passhatch/lab/Size.java
+++ b/lab/src/main/java/passhatch/lab/FleetSize.java
@@ -6,29 +6,29 @@
 /**
  * A fleet's size, written as 1000x300.
  *
- * @param copies instances that send to the same servers
+ * @param replicas instances that send to the same servers
  * @param servers servers in the list
  */
-record Size(int copies, int servers) {
+record FleetSize(int replicas, int servers) {
 
     /** How many views of a server the instances hold together: what memory and time grow with. */
-    long cells() {
-        return (long) copies * servers;
+    long pairCount() {
+        return (long) replicas * servers;
     }
 
     @Override
     public String toString() {
-        return copies + " x " + servers;
+        return replicas + " x " + servers;
     }
 
     /** Reads a size from the command line. */
-    static final class Converter implements ITypeConverter<Size> {
+    static final class Converter implements ITypeConverter<FleetSize> {
         @Override
-        public Size convert(String text) {
+        public FleetSize convert(String text) {
             String[] parts = text.split("x");
             try {
-                Size size = new Size(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]));
-                if (parts.length == 2 && size.copies > 0 && size.servers > 0) {
+                FleetSize size = new FleetSize(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]));
+                if (parts.length == 2 && size.replicas > 0 && size.servers > 0) {
                     return size;
                 }
             } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
--- a/lab/src/main/java/passhatch/lab/LatencyCommand.java
+++ b/lab/src/main/java/passhatch/lab/LatencyCommand.java
@@ -12,7 +12,7 @@
 /** Measures what a proxy in a process of its own adds to a call. */
 @Command(name = "latency", mixinStandardHelpOptions = true,
         description = "What the proxy adds to a call: processor time, 50th and 99th percentile, open loop.")
-final class LatencyCommand implements Callable<Integer>, Part {
+final class LatencyCommand implements Callable<Integer>, ScaleTest {
 
     @Mixin
     private RunOptions options;
@@ -23,19 +23,19 @@
 
     @Option(names = "--seconds", defaultValue = "5", paramLabel = "S",
             description = "length of each run (default: ${DEFAULT-VALUE})")
-    private int seconds;
+    private int runSeconds;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        measure(options, options.results("latency"), new Progress());
+        measure(options, options.createResults("latency"), new ProgressLog());
         return 0;
     }
 
     @Override
-    public void measure(RunOptions run, Results results, Progress progress)
+    public void measure(RunOptions runOptions, Results results, ProgressLog progress)
             throws IOException, InterruptedException {
-        try (LatencyTrial trial = new LatencyTrial(root, results, progress::say)) {
-            trial.run(run.runs, Duration.ofSeconds(seconds));
+        try (LatencyTrial trial = new LatencyTrial(root, results, progress::print)) {
+            trial.run(runOptions.runs, Duration.ofSeconds(runSeconds));
         }
     }
 }
--- a/lab/src/main/java/passhatch/lab/ModuleCommand.java
+++ b/lab/src/main/java/passhatch/lab/ModuleCommand.java
@@ -20,7 +20,7 @@
 /** Measures what events cost one instance of the module, each figure in forks with the service's JIT. */
 @Command(name = "module", mixinStandardHelpOptions = true,
         description = "The module's costs by servers and copies: decision, change, lists, bytes a server.")
-final class ModuleCommand implements Callable<Integer>, Part {
+final class ModuleCommand implements Callable<Integer>, ScaleTest {
 
     private static final int FORKS = 2;
 
@@ -33,76 +33,81 @@
 
     @Option(names = "--copies", split = ",", defaultValue = "1,100,1000,19000",
             description = "instances that share them (default: ${DEFAULT-VALUE})")
-    private List<Integer> copies;
+    private List<Integer> replicas;
 
     @Override
     public Integer call() throws RunnerException {
-        measure(options, options.results("module"), new Progress());
+        measure(options, options.createResults("module"), new ProgressLog());
         return 0;
     }
 
     @Override
-    public void measure(RunOptions run, Results results, Progress progress) throws RunnerException {
+    public void measure(RunOptions runOptions, Results results, ProgressLog progress) throws RunnerException {
         results.note("Sizes are copies x servers. Times: JMH, " + FORKS + " forks with "
                 + "-XX:TieredStopAtLevel=1 -XX:+UseSerialGC, warmed up; runs are iterations over all forks. "
                 + "Cold is a fork's first call, warm the second half of its calls. "
                 + "Bytes: live heap by difference, names included.");
-        for (int s : servers) {
-            for (int c : copies) {
-                String size = c + " x " + s;
-                progress.say("module, " + size);
-                for (RunResult result : new Runner(steady(s, c).build()).run()) {
-                    addSteady(results, size, result);
+        for (int serverCount : servers) {
+            for (int replicaCount : replicas) {
+                String size = replicaCount + " x " + serverCount;
+                progress.print("module, " + size);
+                for (RunResult result
+                        : new Runner(steadyStateOptions(serverCount, replicaCount).build()).run()) {
+                    addSteadyState(results, size, result);
                 }
-                for (RunResult result : new Runner(first(s, c).build()).run()) {
-                    addFirst(results, size, result);
+                for (RunResult result
+                        : new Runner(firstListOptions(serverCount, replicaCount).build()).run()) {
+                    addFirstList(results, size, result);
                 }
-                results.add("retained heap a server", size, "bytes", IntStream.range(0, s > 3000 ? 1 : 2)
-                        .mapToDouble(i -> RetainedHeap.bytesPerServer(s, c, run.seed + i)).toArray());
+                results.add("retained heap a server", size, "bytes",
+                        IntStream.range(0, serverCount > 3000 ? 1 : 2)
+                        .mapToDouble(i -> RetainedHeap.bytesPerServer(serverCount, replicaCount,
+                        runOptions.seed + i)).toArray());
             }
         }
     }
 
-    private static ChainedOptionsBuilder common(int servers, int copies) {
+    private static ChainedOptionsBuilder commonOptions(int servers, int replicas) {
         return new OptionsBuilder().verbosity(VerboseMode.SILENT).forks(FORKS)
-                .param("servers", Integer.toString(servers)).param("copies", Integer.toString(copies))
+                .param("servers", Integer.toString(servers)).param("replicas", Integer.toString(replicas))
                 .jvmArgs("-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx256m");
     }
 
-    private static ChainedOptionsBuilder steady(int servers, int copies) {
-        return common(servers, copies).include(ModuleBench.class.getName() + ".(decision|change|whole.*)$")
+    private static ChainedOptionsBuilder steadyStateOptions(int servers, int replicas) {
+        return commonOptions(servers, replicas)
+                .include(ModuleBenchmark.class.getName() + ".(decision|changeOneServer|fullList.*)$")
                 .warmupIterations(3).warmupTime(TimeValue.milliseconds(100))
                 .measurementIterations(3).measurementTime(TimeValue.milliseconds(100));
     }
 
-    private static ChainedOptionsBuilder first(int servers, int copies) {
-        return common(servers, copies).include(ModuleBench.class.getName() + ".firstList$")
+    private static ChainedOptionsBuilder firstListOptions(int servers, int replicas) {
+        return commonOptions(servers, replicas).include(ModuleBenchmark.class.getName() + ".firstList$")
                 .warmupIterations(0).measurementIterations(servers > 3000 ? 3 : 20);
     }
 
-    private static void addSteady(Results results, String size, RunResult result) {
-        String figure = switch (result.getParams().getBenchmark().replaceAll(".*\\.", "")) {
+    private static void addSteadyState(Results results, String size, RunResult result) {
+        String measurement = switch (result.getParams().getBenchmark().replaceAll(".*\\.", "")) {
             case "decision" -> "decision";
-            case "change" -> "change of one server";
-            case "wholeUnchanged" -> "whole list, unchanged";
+            case "changeOneServer" -> "change of one server";
+            case "fullListUnchanged" -> "whole list, unchanged";
             default -> "whole list, one change";
         };
-        results.add(figure, size, "us", result.getBenchmarkResults().stream()
+        results.add(measurement, size, "us", result.getBenchmarkResults().stream()
                 .flatMap(fork -> fork.getIterationResults().stream())
-                .mapToDouble(ModuleCommand::us).toArray());
+                .mapToDouble(ModuleCommand::scoreUs).toArray());
     }
 
-    private static void addFirst(Results results, String size, RunResult result) {
+    private static void addFirstList(Results results, String size, RunResult result) {
         List<Collection<IterationResult>> forks = result.getBenchmarkResults().stream()
                 .map(BenchmarkResult::getIterationResults).toList();
         results.add("first list, cold", size, "us", forks.stream()
-                .mapToDouble(calls -> us(calls.iterator().next())).toArray());
+                .mapToDouble(calls -> scoreUs(calls.iterator().next())).toArray());
         results.add("first list, warm", size, "us", forks.stream()
                 .flatMap(calls -> calls.stream().skip((calls.size() + 1) / 2))
-                .mapToDouble(ModuleCommand::us).toArray());
+                .mapToDouble(ModuleCommand::scoreUs).toArray());
     }
 
-    private static double us(IterationResult iteration) {
+    private static double scoreUs(IterationResult iteration) {
         return iteration.getPrimaryResult().getScore();
     }
 }
--- a/lab/src/main/java/passhatch/lab/NoActions.java
+++ b/lab/src/main/java/passhatch/lab/NoOpActions.java
@@ -3,14 +3,14 @@
 import passhatch.Balancer.Actions;
 
 /** Takes a module's actions and does nothing but keep the server of the latest send. */
-class NoActions implements Actions {
+class NoOpActions implements Actions {
 
     /** Where the latest send went. */
-    String server;
+    String lastServer;
 
     @Override
-    public void send(String request, String to, long timeoutUs) {
-        server = to;
+    public void send(String request, String server, long timeoutUs) {
+        lastServer = server;
     }
 
     @Override
@@ -23,7 +23,7 @@
     public void cancel(String request, int attempt) { }
 
     @Override
-    public void probe(String to) { }
+    public void probe(String server) { }
 
     @Override
     public void wakeAt(long atUs) { }
--- a/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
+++ b/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
@@ -27,11 +27,11 @@
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
-public class QueuedCallsBenchmark extends NoActions {
+public class QueuedCallsBenchmark extends NoOpActions {
 
-    private static final long STEP_US = 100;
-    private static final long CALL_US = 200_000;
-    private static final long PATIENCE_US = 1_000_000_000_000L;
+    private static final long EVENT_INTERVAL_US = 100;
+    private static final long SERVICE_TIME_US = 200_000;
+    private static final long UNLIMITED_US = 1_000_000_000_000L;
 
     @Param({"8", "300"})
     int servers;
@@ -41,82 +41,85 @@
     @Param({"true", "false"})
     boolean out;
 
-    private record Sent(String request, String server) { }
+    private record SentCall(String request, String server) { }
 
-    private final ArrayDeque<Sent> sent = new ArrayDeque<>();
+    private final ArrayDeque<SentCall> sentCalls = new ArrayDeque<>();
     private LeastLoadedBalancer logic;
     private long nowUs;
-    private long requests;
-    private long events;
+    private long requestCount;
+    private long eventCount;
 
     /** Has each server take a call, and lets so many more wait. */
     @Setup
-    public void fill() {
-        nowUs = PATIENCE_US;
-        RequestClass patient = new RequestClass("patient", PATIENCE_US, PATIENCE_US, 1, 0, Effect.SAFE,
+    public void setUp() {
+        nowUs = UNLIMITED_US;
+        RequestClass longClass = new RequestClass("patient", UNLIMITED_US, UNLIMITED_US, 1, 0, Effect.SAFE,
                 DedupScope.ALL, 0);
-        RequestClass quick = new RequestClass("quick", 2 * CALL_US, 2 * CALL_US, 1, 0, Effect.SAFE,
+        RequestClass shortClass =
+                new RequestClass("quick", 2 * SERVICE_TIME_US, 2 * SERVICE_TIME_US, 1, 0, Effect.SAFE,
                 DedupScope.ALL, 0);
-        logic = new LeastLoadedBalancer(new SettingsBuilder().requestClass(patient).requestClass(
-                quick).build(), 1, this);
+        logic = new LeastLoadedBalancer(new SettingsBuilder().requestClass(longClass).requestClass(
+                shortClass).build(), 1,
+                this);
         logic.serversChanged(nowUs, ListKind.CACHED, IntStream.range(0, servers)
                 .mapToObj(i -> new Server("s" + i, 0, 0, 0, ServerStatus.UP)).toList());
-        while (requests < servers) {
-            request();
-            serve();
+        while (requestCount < servers) {
+            addRequest();
+            endOldestCall();
         }
-        while (requests < 2L * servers) {
-            request();
+        while (requestCount < 2L * servers) {
+            addRequest();
         }
         for (int i = 0; out && i < servers; i++) {
             logic.disable(nowUs, "s" + i);
         }
         for (int i = 0; i < queued; i++) {
-            request();
+            addRequest();
         }
-        if (sent.size() != servers) {
-            throw new IllegalStateException(sent.size() + " calls were sent to " + servers + " servers");
+        if (sentCalls.size() != servers) {
+            throw new IllegalStateException(sentCalls.size() + " calls were sent to " + servers + " servers");
         }
     }
 
-    private void request() {
-        logic.request(nowUs, new Request("r" + requests++, 0, 0, PATIENCE_US, 0, false));
+    private void addRequest() {
+        logic.request(nowUs, new Request("r" + requestCount++, 0, 0, UNLIMITED_US, 0, false));
     }
 
-    private void serve() {
-        Sent oldest = sent.poll();
-        logic.outcome(nowUs, oldest.request(), 0, oldest.server(), Outcome.OK, CALL_US, true, null);
+    private void endOldestCall() {
+        SentCall oldest = sentCalls.poll();
+        logic.outcome(nowUs, oldest.request(), 0, oldest.server(), Outcome.OK, SERVICE_TIME_US, true, null);
     }
 
     /** Servers that are out say what they hold; else one ends a call, takes one queued, and a call comes. */
     @Benchmark
     public void event() {
-        nowUs += STEP_US;
+        nowUs += EVENT_INTERVAL_US;
         if (out) {
-            logic.probeResult(nowUs, "s" + events++ % servers, Outcome.OK, 1_000, new LoadReport(1, 0, 0));
+            logic.probeResult(nowUs, "s" + eventCount++ % servers, Outcome.OK, 1_000,
+                    new LoadReport(1, 0, 0));
         } else {
-            serve();
-            request();
+            endOldestCall();
+            addRequest();
         }
     }
 
     /** A state as the benchmark has it. */
-    static QueuedCallsBenchmark with(int servers, int queued, boolean out) {
-        QueuedCallsBenchmark made = new QueuedCallsBenchmark();
-        made.servers = servers;
-        made.queued = queued;
-        made.out = out;
-        made.fill();
-        return made;
+    static QueuedCallsBenchmark create(int servers, int queued, boolean out) {
+        QueuedCallsBenchmark benchmark = new QueuedCallsBenchmark();
+        benchmark.servers = servers;
+        benchmark.queued = queued;
+        benchmark.out = out;
+        benchmark.setUp();
+        return benchmark;
     }
 
     int inFlight() {
-        return sent.size();
+        return sentCalls.size();
     }
 
     @Override
     public void send(String request, String server, long timeoutUs) {
-        sent.add(new Sent(request, server));
+        sentCalls.add(new SentCall(request, server));
     }
 
     @Override
--- a/lab/src/main/java/passhatch/lab/Results.java
+++ b/lab/src/main/java/passhatch/lab/Results.java
@@ -16,15 +16,15 @@
  */
 public final class Results {
 
-    private record Row(String figure, String size, String unit, double[] runs) {
+    private record Row(String measurement, String size, String unit, double[] values) {
 
-        double quantile(double q) {
-            double[] sorted = runs.clone();
+        double quantile(double fraction) {
+            double[] sorted = values.clone();
             Arrays.sort(sorted);
-            double at = q * (sorted.length - 1);
-            int below = (int) at;
+            double position = fraction * (sorted.length - 1);
+            int below = (int) position;
             int above = Math.min(below + 1, sorted.length - 1);
-            return sorted[below] + (at - below) * (sorted[above] - sorted[below]);
+            return sorted[below] + (position - below) * (sorted[above] - sorted[below]);
         }
     }
 
@@ -45,10 +45,10 @@
     public Results(Path directory, String name, long seed, String revision) {
         this.directory = directory;
         this.name = name;
-        this.origin = "Seed " + seed + ", revision " + revision + ", " + machine() + ".";
+        this.origin = "Seed " + seed + ", revision " + revision + ", " + describeMachine() + ".";
     }
 
-    private static String machine() {
+    private static String describeMachine() {
         Runtime runtime = Runtime.getRuntime();
         return runtime.availableProcessors() + " cores (" + System.getProperty("os.arch") + "), "
                 + System.getProperty("java.vm.name") + " " + System.getProperty("java.vm.version")
@@ -58,16 +58,16 @@
     /**
      * Adds a figure.
      *
-     * @param figure what was measured
+     * @param measurement what was measured
      * @param size at which size, such as "1000 x 300"
      * @param unit of the values; "" for ratios and counts
-     * @param runs the value of each run, at least one
+     * @param values the value of each run, at least one
      */
-    public synchronized void add(String figure, String size, String unit, double... runs) {
-        if (runs.length == 0) {
-            throw new IllegalArgumentException("no run of " + figure);
+    public synchronized void add(String measurement, String size, String unit, double... values) {
+        if (values.length == 0) {
+            throw new IllegalArgumentException("no run of " + measurement);
         }
-        rows.add(new Row(figure, size, unit, runs.clone()));
+        rows.add(new Row(measurement, size, unit, values.clone()));
         write();
     }
 
@@ -78,38 +78,39 @@
     }
 
     private void write() {
-        StringBuilder page = new StringBuilder("# " + name + "\n\n" + origin + "\n\n"
+        StringBuilder markdown = new StringBuilder("# " + name + "\n\n" + origin + "\n\n"
                 + "| figure | size | median | least | most | runs | unit |\n"
                 + "| --- | --- | ---: | ---: | ---: | ---: | --- |\n");
         StringBuilder csv = new StringBuilder("figure,size,median,least,most,runs,unit\n");
-        for (Row r : rows) {
-            List<String> cells = List.of(r.figure(), r.size(), text(r.quantile(0.5)), text(r.quantile(0)),
-                    text(r.quantile(1)), Integer.toString(r.runs().length), r.unit());
-            page.append("| ").append(String.join(" | ", cells)).append(" |\n");
+        for (Row row : rows) {
+            List<String> cells = List.of(row.measurement(), row.size(), format(row.quantile(0.5)),
+                    format(row.quantile(0)),
+                    format(row.quantile(1)), Integer.toString(row.values().length), row.unit());
+            markdown.append("| ").append(String.join(" | ", cells)).append(" |\n");
             cells.forEach(c -> csv.append('"').append(c.replace("\"", "\"\"")).append("\","));
             csv.setCharAt(csv.length() - 1, '\n');
         }
-        notes.forEach(n -> page.append("\n- ").append(n));
-        page.append(notes.isEmpty() ? "" : "\n");
+        notes.forEach(n -> markdown.append("\n- ").append(n));
+        markdown.append(notes.isEmpty() ? "" : "\n");
         try {
             Files.createDirectories(directory);
-            replace(name + ".md", page);
-            replace(name + ".csv", csv);
+            replaceFile(name + ".md", markdown);
+            replaceFile(name + ".csv", csv);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** A command stopped in the middle leaves the file as it was before. */
-    private void replace(String file, CharSequence content) throws IOException {
-        Path written = Files.writeString(directory.resolve(file + ".part"), content);
-        Files.move(written, directory.resolve(file), StandardCopyOption.REPLACE_EXISTING);
+    private void replaceFile(String fileName, CharSequence content) throws IOException {
+        Path partialFile = Files.writeString(directory.resolve(fileName + ".part"), content);
+        Files.move(partialFile, directory.resolve(fileName), StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Four significant digits, plain: neither exponents nor digits that no run supports. */
-    private static String text(double value) {
-        int digits = value == 0 || !Double.isFinite(value) ? 0
+    private static String format(double value) {
+        int decimals = value == 0 || !Double.isFinite(value) ? 0
                 : (int) Math.max(0, 3 - Math.floor(Math.log10(Math.abs(value))));
-        return String.format(Locale.ROOT, "%." + Math.min(digits, 6) + "f", value);
+        return String.format(Locale.ROOT, "%." + Math.min(decimals, 6) + "f", value);
     }
 }
--- a/lab/src/main/java/passhatch/lab/RetainedHeap.java
+++ b/lab/src/main/java/passhatch/lab/RetainedHeap.java
@@ -13,23 +13,24 @@
 final class RetainedHeap {
 
     /** So many servers over all instances that what else happens in the heap doesn't count. */
-    private static final int SERVERS = 20_000;
+    private static final int TOTAL_SERVERS = 20_000;
 
     private RetainedHeap() { }
 
-    static double bytesPerServer(int servers, int copies, long seed) {
-        int instances = Math.max(1, SERVERS / servers);
-        List<Balancer> kept = new ArrayList<>(instances);
-        long before = live();
+    static double bytesPerServer(int servers, int replicas, long seed) {
+        int instances = Math.max(1, TOTAL_SERVERS / servers);
+        List<Balancer> modules = new ArrayList<>(instances);
+        long bytesBefore = liveBytes();
         for (int i = 0; i < instances; i++) {
-            Balancer module = new LeastLoadedBalancer(Sites.settings(copies, 0), i, new NoActions());
-            module.serversChanged(1_000_000, ListKind.CACHED, Sites.servers(servers, seed + i));
-            kept.add(module);
+            Balancer module = new LeastLoadedBalancer(SampleDeployment.settings(replicas, 0), i,
+                    new NoOpActions());
+            module.serversChanged(1_000_000, ListKind.CACHED, SampleDeployment.servers(servers, seed + i));
+            modules.add(module);
         }
-        return (live() - before) / ((double) servers * kept.size());
+        return (liveBytes() - bytesBefore) / ((double) servers * modules.size());
     }
 
-    private static long live() {
+    private static long liveBytes() {
         for (int i = 0; i < 3; i++) {
             System.gc();
         }
--- a/lab/src/main/java/passhatch/lab/RunOptions.java
+++ b/lab/src/main/java/passhatch/lab/RunOptions.java
@@ -16,14 +16,14 @@
 
     @Option(names = "--out", defaultValue = "lab/results/target", paramLabel = "DIR",
             description = "directory of the tables (default: ${DEFAULT-VALUE})")
-    Path out;
+    Path outputDirectory;
 
     @Option(names = "--revision", defaultValue = "unknown", paramLabel = "REV",
             description = "git revision that was built, for the tables")
     String revision;
 
     /** A table of these options; it is on disk from its first figure on. */
-    Results results(String name) {
-        return new Results(out, name, seed, revision);
+    Results createResults(String name) {
+        return new Results(outputDirectory, name, seed, revision);
     }
 }
--- a/lab/src/main/java/passhatch/lab/Sites.java
+++ b/lab/src/main/java/passhatch/lab/SampleDeployment.java
@@ -19,24 +19,24 @@
  * The deployment that is measured: settings like those of a site in service (no probes, one call on a
  * connection, 3 attempts) with one class of requests, and lists of servers.
  */
-final class Sites {
+final class SampleDeployment {
 
     static final int ZONES = 3;
     /** How long clients wait. Longer than any queue of a calm server, so that time-outs mean trouble. */
     static final long DEADLINE_US = 2_000_000;
     static final Rules RULES = new Rules(2_500_000, 0, 0.32, 8_600_000, 3, 3_000_000);
 
-    private Sites() { }
+    private SampleDeployment() { }
 
     /** The settings of instance {@code copy}, one of {@code copies} that send to the same servers. */
-    static Settings settings(int copies, int copy) {
+    static Settings settings(int replicas, int replicaIndex) {
         return new SettingsBuilder()
                 .requestClass(new RequestClass(
                         "read", 1_000_000, DEADLINE_US, 1, 0.5, Effect.SAFE, DedupScope.ALL, 0))
                 .limits(new Limits(3, true, false, 1_000_000, 1, 30_000_000, true))
                 .rules(RULES)
-                .replicas(copies, copy)
-                .zone(copy % ZONES)
+                .replicas(replicas, replicaIndex)
+                .zone(replicaIndex % ZONES)
                 .build();
     }
 
@@ -56,19 +56,19 @@
     }
 
     /** The same server with another status, its process started then. */
-    static Server with(Server server, ServerStatus status, long startedAtUs) {
+    static Server withStatus(Server server, ServerStatus status, long startedAtUs) {
         return new Server(server.id(), startedAtUs, server.zone(), server.cell(), status);
     }
 
     /** The list in another order. */
     static List<Server> shuffled(List<Server> list, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Server> mixed = new ArrayList<>(list);
-        for (int i = mixed.size() - 1; i > 0; i--) {
-            int other = random.nextInt(i + 1);
-            Server moved = mixed.set(other, mixed.get(i));
-            mixed.set(i, moved);
+        List<Server> result = new ArrayList<>(list);
+        for (int i = result.size() - 1; i > 0; i--) {
+            int swapIndex = random.nextInt(i + 1);
+            Server swapped = result.set(swapIndex, result.get(i));
+            result.set(i, swapped);
         }
-        return mixed;
+        return result;
     }
 }
--- a/lab/src/main/java/passhatch/lab/Scenario.java
+++ b/lab/src/main/java/passhatch/lab/Scenario.java
@@ -6,9 +6,9 @@
 interface Scenario {
 
     /** Until then instances learn what is usual, and nothing is counted. */
-    int LEARNT_S = 10;
+    int BASELINE_START_S = 10;
     /** Until then nothing happens. */
-    int CALM_S = 15;
+    int BASELINE_END_S = 15;
 
     /**
      * A figure.
@@ -17,8 +17,8 @@
      * @param unit "" for ratios and counts
      * @param value of this run
      */
-    record Figure(String name, String unit, double value) { }
+    record Measurement(String name, String unit, double value) { }
 
     /** Plays it; the same size and seed give the same figures, in the same order. */
-    List<Figure> play(Size size, long seed);
+    List<Measurement> run(FleetSize size, long seed);
 }
--- a/lab/src/main/java/passhatch/lab/EventLoop.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedEventLoop.java
@@ -3,21 +3,21 @@
 import java.util.PriorityQueue;
 
 /** Simulated time, in microseconds: events run in the order of their times, equal ones as they were added. */
-final class EventLoop {
+final class SimulatedEventLoop {
 
-    private record Event(long atUs, long number, Runnable what) implements Comparable<Event> {
+    private record Event(long atUs, long sequence, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             int byTime = Long.compare(atUs, other.atUs);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long nowUs;
-    private long added;
+    private long nextSequence;
 
-    EventLoop(long startUs) {
+    SimulatedEventLoop(long startUs) {
         nowUs = startUs;
     }
 
@@ -26,8 +26,8 @@
     }
 
     /** Runs something at that time; now, after what runs, if it has passed. */
-    void at(long atUs, Runnable what) {
-        events.add(new Event(Math.max(atUs, nowUs), added++, what));
+    void schedule(long atUs, Runnable action) {
+        events.add(new Event(Math.max(atUs, nowUs), nextSequence++, action));
     }
 
     /** Runs all events up to that time. */
@@ -35,7 +35,7 @@
         while (!events.isEmpty() && events.peek().atUs() <= untilUs) {
             Event next = events.poll();
             nowUs = next.atUs();
-            next.what().run();
+            next.action().run();
         }
         nowUs = untilUs;
     }
--- a/lab/src/main/java/passhatch/lab/Fleet.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedFleet.java
@@ -11,47 +11,47 @@
  * A fleet in simulated time: instances of the real module, modelled servers, and clients that keep the
  * servers busy to a given part. One thread runs it; a seed gives the same run, event by event.
  */
-final class Fleet {
+final class SimulatedFleet {
 
     /** Work of a request on a warm core, on average. */
     static final double MEAN_WORK_US = 100_000;
     /** Part of the warm servers' time that is in use. */
     static final double UTILISATION = 0.4;
     /** A warm server's requests a second at most. */
-    static final double CAPACITY = SimulatedServer.CORES * 1e6 / MEAN_WORK_US;
+    static final double CAPACITY_PER_S = SimulatedServer.CORES * 1e6 / MEAN_WORK_US;
     /** Any time long after 0, which stands for servers that have always been there. */
     private static final long START_US = 1_000_000_000_000L;
     /** Within this time a change that discovery tells is in force at all instances. */
-    private static final long TOLD_WITHIN_US = 200_000;
+    private static final long MAX_PROPAGATION_US = 200_000;
 
-    private final EventLoop loop = new EventLoop(START_US);
-    private final Seconds seconds = new Seconds(START_US);
+    private final SimulatedEventLoop loop = new SimulatedEventLoop(START_US);
+    private final TrafficStatistics statistics = new TrafficStatistics(START_US);
     private final SplittableRandom random;
-    private final Map<String, SimulatedServer> byId = new LinkedHashMap<>();
+    private final Map<String, SimulatedServer> serversById = new LinkedHashMap<>();
     private final List<SimulatedServer> servers;
     private final List<SimulatedProxy> proxies = new ArrayList<>();
 
-    Fleet(Size size, long seed) {
+    SimulatedFleet(FleetSize size, long seed) {
         random = new SplittableRandom(seed);
-        List<Server> list = Sites.servers(size.servers(), random.nextLong());
-        list.forEach(s -> byId.put(s.id(), new SimulatedServer(loop, s)));
-        servers = List.copyOf(byId.values());
-        double gapUs = 1e6 * size.copies() / (size.servers() * CAPACITY * UTILISATION);
-        for (int i = 0; i < size.copies(); i++) {
-            proxies.add(new SimulatedProxy(this, size.copies(), i, random.split(), gapUs, list));
+        List<Server> serverList = SampleDeployment.servers(size.servers(), random.nextLong());
+        serverList.forEach(s -> serversById.put(s.id(), new SimulatedServer(loop, s)));
+        servers = List.copyOf(serversById.values());
+        double meanGapUs = 1e6 * size.replicas() / (size.servers() * CAPACITY_PER_S * UTILISATION);
+        for (int i = 0; i < size.replicas(); i++) {
+            proxies.add(new SimulatedProxy(this, size.replicas(), i, random.split(), meanGapUs, serverList));
         }
     }
 
-    EventLoop loop() {
+    SimulatedEventLoop loop() {
         return loop;
     }
 
-    Seconds seconds() {
-        return seconds;
+    TrafficStatistics statistics() {
+        return statistics;
     }
 
-    Map<String, SimulatedServer> byId() {
-        return byId;
+    Map<String, SimulatedServer> serversById() {
+        return serversById;
     }
 
     List<SimulatedServer> servers() {
@@ -59,20 +59,21 @@
     }
 
     /** Some servers, drawn from the seed. */
-    List<SimulatedServer> draw(int count) {
-        List<SimulatedServer> left = new ArrayList<>(servers);
+    List<SimulatedServer> drawServers(int count) {
+        List<SimulatedServer> remaining = new ArrayList<>(servers);
         List<SimulatedServer> drawn = new ArrayList<>();
         while (drawn.size() < count) {
-            drawn.add(left.remove(random.nextInt(left.size())));
+            drawn.add(remaining.remove(random.nextInt(remaining.size())));
         }
         return drawn;
     }
 
     /** Has discovery tell all instances how these servers are listed now, each a little later. */
-    void tell(List<SimulatedServer> changed) {
-        List<Server> lines = changed.stream().map(SimulatedServer::listed).toList();
+    void announce(List<SimulatedServer> changed) {
+        List<Server> listEntries = changed.stream().map(SimulatedServer::listEntry).toList();
         for (SimulatedProxy proxy : proxies) {
-            loop.at(loop.nowUs() + random.nextLong(TOLD_WITHIN_US), () -> proxy.changed(lines));
+            loop.schedule(loop.nowUs() + random.nextLong(MAX_PROPAGATION_US),
+                    () -> proxy.serversChanged(listEntries));
         }
     }
 
@@ -82,8 +83,8 @@
     }
 
     /** Most requests that one server held at a time since this was last asked, for each of its cores. */
-    double takeMostHeldPerCore() {
-        return servers.stream().mapToInt(SimulatedServer::takeMostHeld).max().orElseThrow()
+    double takePeakRequestsPerCore() {
+        return servers.stream().mapToInt(SimulatedServer::takePeakHeld).max().orElseThrow()
                 / (double) SimulatedServer.CORES;
     }
 }
--- a/lab/src/main/java/passhatch/lab/SimulatedProxy.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedProxy.java
@@ -20,14 +20,14 @@
 final class SimulatedProxy implements Actions {
 
     /** From the proxy to a server, and back. */
-    private static final long HOP_US = 250;
+    private static final long ONE_WAY_DELAY_US = 250;
 
     private static final class Call {
         private final long arrivedUs;
         private final long workUs;
         private final List<Attempt> attempts = new ArrayList<>(2);
         private boolean ended;
-        private int out;
+        private int inFlight;
 
         private Call(long arrivedUs, long workUs) {
             this.arrivedUs = arrivedUs;
@@ -39,7 +39,7 @@
         private final SimulatedServer server;
         private final long sentUs;
         private SimulatedServer.Job job;
-        private boolean over;
+        private boolean ended;
 
         private Attempt(SimulatedServer server, long sentUs) {
             this.server = server;
@@ -47,14 +47,14 @@
         }
     }
 
-    private final EventLoop loop;
-    private final Map<String, SimulatedServer> servers;
-    private final Seconds seconds;
+    private final SimulatedEventLoop loop;
+    private final Map<String, SimulatedServer> serversById;
+    private final TrafficStatistics statistics;
     private final SplittableRandom random;
     private final double meanGapUs;
     private final Balancer module;
     private final Map<String, Call> calls = new HashMap<>();
-    private long requests;
+    private long nextRequestId;
     private long wakeAtUs = Long.MAX_VALUE;
 
     /**
@@ -62,22 +62,24 @@
      *
      * @param meanGapUs between two requests, on average
      */
-    SimulatedProxy(Fleet fleet, int copies, int copy, SplittableRandom random, double meanGapUs,
-            List<Server> list) {
+    SimulatedProxy(SimulatedFleet fleet, int replicas, int replicaIndex, SplittableRandom random,
+            double meanGapUs,
+            List<Server> serverList) {
         this.loop = fleet.loop();
-        this.servers = fleet.byId();
-        this.seconds = fleet.seconds();
+        this.serversById = fleet.serversById();
+        this.statistics = fleet.statistics();
         this.random = random;
         this.meanGapUs = meanGapUs;
-        this.module = new LeastLoadedBalancer(Sites.settings(copies, copy), random.nextLong(), this);
-        module.serversChanged(loop.nowUs(), ListKind.CACHED, list);
-        expectRequest();
+        this.module = new LeastLoadedBalancer(SampleDeployment.settings(replicas, replicaIndex),
+                random.nextLong(), this);
+        module.serversChanged(loop.nowUs(), ListKind.CACHED, serverList);
+        scheduleNextRequest();
     }
 
-    private void expectRequest() {
-        loop.at(loop.nowUs() + (long) exponential(meanGapUs), () -> {
-            arrive();
-            expectRequest();
+    private void scheduleNextRequest() {
+        loop.schedule(loop.nowUs() + (long) exponential(meanGapUs), () -> {
+            receiveRequest();
+            scheduleNextRequest();
         });
     }
 
@@ -85,69 +87,70 @@
         return -mean * Math.log(1 - random.nextDouble());
     }
 
-    private void arrive() {
-        String id = Long.toString(requests++);
-        calls.put(id, new Call(loop.nowUs(), (long) exponential(Fleet.MEAN_WORK_US)));
-        seconds.arrived(loop.nowUs());
-        module.request(loop.nowUs(), new Request(id, 0, 0, Sites.DEADLINE_US, 0, false));
+    private void receiveRequest() {
+        String id = Long.toString(nextRequestId++);
+        calls.put(id, new Call(loop.nowUs(), (long) exponential(SimulatedFleet.MEAN_WORK_US)));
+        statistics.requestArrived(loop.nowUs());
+        module.request(loop.nowUs(), new Request(id, 0, 0, SampleDeployment.DEADLINE_US, 0, false));
     }
 
     /** Discovery's word on some servers. */
-    void changed(List<Server> changes) {
+    void serversChanged(List<Server> changes) {
         module.serversChanged(loop.nowUs(), ListKind.CHANGES, changes);
     }
 
     @Override
     public void send(String request, String server, long timeoutUs) {
         Call call = calls.get(request);
-        Attempt attempt = new Attempt(servers.get(server), loop.nowUs());
-        int number = call.attempts.size();
+        Attempt attempt = new Attempt(serversById.get(server), loop.nowUs());
+        int attemptNumber = call.attempts.size();
         call.attempts.add(attempt);
-        call.out++;
-        if (number > 0) {
-            seconds.sentAgain(loop.nowUs());
+        call.inFlight++;
+        if (attemptNumber > 0) {
+            statistics.extraAttemptSent(loop.nowUs());
         }
-        loop.at(loop.nowUs() + HOP_US, () -> {
-            if (!attempt.over) {
-                attempt.job = attempt.server.take(call.workUs, outcome -> loop.at(loop.nowUs() + HOP_US,
-                        () -> ended(request, call, number, outcome)));
+        loop.schedule(loop.nowUs() + ONE_WAY_DELAY_US, () -> {
+            if (!attempt.ended) {
+                attempt.job = attempt.server.accept(call.workUs,
+                        outcome -> loop.schedule(loop.nowUs() + ONE_WAY_DELAY_US,
+                        () -> attemptEnded(request, call, attemptNumber, outcome)));
             }
         });
-        loop.at(loop.nowUs() + timeoutUs, () -> giveUp(request, call, number, Outcome.TIMEOUT));
+        loop.schedule(loop.nowUs() + timeoutUs, () -> giveUp(request, call, attemptNumber, Outcome.TIMEOUT));
     }
 
     @Override
-    public void cancel(String request, int number) {
+    public void cancel(String request, int attemptNumber) {
         Call call = calls.get(request);
-        loop.at(loop.nowUs(), () -> giveUp(request, call, number, Outcome.CANCELLED));
+        loop.schedule(loop.nowUs(), () -> giveUp(request, call, attemptNumber, Outcome.CANCELLED));
     }
 
-    private void giveUp(String request, Call call, int number, Outcome outcome) {
-        Attempt attempt = call.attempts.get(number);
-        if (!attempt.over && attempt.job != null) {
-            attempt.server.drop(attempt.job);
+    private void giveUp(String request, Call call, int attemptNumber, Outcome outcome) {
+        Attempt attempt = call.attempts.get(attemptNumber);
+        if (!attempt.ended && attempt.job != null) {
+            attempt.server.abandon(attempt.job);
         }
-        ended(request, call, number, outcome);
+        attemptEnded(request, call, attemptNumber, outcome);
     }
 
-    private void ended(String request, Call call, int number, Outcome outcome) {
-        Attempt attempt = call.attempts.get(number);
-        if (attempt.over) {
+    private void attemptEnded(String request, Call call, int attemptNumber, Outcome outcome) {
+        Attempt attempt = call.attempts.get(attemptNumber);
+        if (attempt.ended) {
             return;
         }
-        attempt.over = true;
-        call.out--;
+        attempt.ended = true;
+        call.inFlight--;
         if (outcome == Outcome.OK && !call.ended) {
             call.ended = true;
-            seconds.served(call.arrivedUs, loop.nowUs() - call.arrivedUs);
+            statistics.requestServed(call.arrivedUs, loop.nowUs() - call.arrivedUs);
         }
-        module.outcome(loop.nowUs(), request, number, attempt.server.listed().id(), outcome,
+        module.outcome(loop.nowUs(), request, attemptNumber, attempt.server.listEntry().id(), outcome,
                 loop.nowUs() - attempt.sentUs, call.ended, null);
-        forget(request, call);
+        forgetIfComplete(request, call);
     }
 
-    private void forget(String request, Call call) {
-        if (call.ended && call.out == 0) {
+    private void forgetIfComplete(String request, Call call) {
+        if (call.ended && call.inFlight == 0) {
             calls.remove(request);
         }
     }
@@ -162,18 +165,18 @@
         Call call = calls.get(request);
         if (!call.ended) {
             call.ended = true;
-            seconds.unserved(call.arrivedUs);
+            statistics.requestUnserved(call.arrivedUs);
         }
-        forget(request, call);
+        forgetIfComplete(request, call);
     }
 
     @Override
     public void wakeAt(long atUs) {
         if (atUs < wakeAtUs) {
             wakeAtUs = Math.max(atUs, loop.nowUs() + 1);
-            long due = wakeAtUs;
-            loop.at(due, () -> {
-                if (due == wakeAtUs) {
+            long dueUs = wakeAtUs;
+            loop.schedule(dueUs, () -> {
+                if (dueUs == wakeAtUs) {
                     wakeAtUs = Long.MAX_VALUE;
                     module.timer(loop.nowUs());
                 }
--- a/lab/src/main/java/passhatch/lab/SimulatedServer.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedServer.java
@@ -15,9 +15,9 @@
 
     static final int CORES = 2;
     /** Requests that wait at most; more are turned away. */
-    private static final int QUEUE = 200;
+    private static final int MAX_QUEUED = 200;
     /** Until a connection is seen to be refused or broken, or an error is answered. */
-    private static final long FAST_US = 500;
+    private static final long FAST_RESPONSE_US = 500;
 
     /** How it treats requests. */
     enum State {
@@ -29,119 +29,121 @@
     /** One attempt at this server; what becomes of it is told once, unless the server hangs. */
     static final class Job {
         private final long workUs;
-        private final Consumer<Outcome> told;
-        private boolean over;
+        private final Consumer<Outcome> onOutcome;
+        private boolean closed;
 
-        private Job(long workUs, Consumer<Outcome> told) {
+        private Job(long workUs, Consumer<Outcome> onOutcome) {
             this.workUs = workUs;
-            this.told = told;
+            this.onOutcome = onOutcome;
         }
     }
 
-    private final EventLoop loop;
+    private final SimulatedEventLoop loop;
     private final ArrayDeque<Job> running = new ArrayDeque<>();
-    private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private Server listed;
+    private final ArrayDeque<Job> queued = new ArrayDeque<>();
+    private Server listEntry;
     private State state = State.WELL;
-    private int mostHeld;
-    private SlidingCount arrivals;
+    private int peakHeld;
+    private SlidingWindowCounter arrivals;
 
-    SimulatedServer(EventLoop loop, Server listed) {
+    SimulatedServer(SimulatedEventLoop loop, Server listEntry) {
         this.loop = loop;
-        this.listed = listed;
+        this.listEntry = listEntry;
     }
 
     /** As discovery would list it. */
-    Server listed() {
-        return listed;
+    Server listEntry() {
+        return listEntry;
     }
 
     /** From now on it treats requests so. What it holds is lost where it refuses or hangs. */
-    void turn(State to) {
-        state = to;
-        if (to == State.REFUSES) {
-            running.forEach(job -> tellSoon(job, Outcome.RESET));
-            waiting.forEach(job -> tellSoon(job, Outcome.RESET));
+    void setState(State newState) {
+        state = newState;
+        if (newState == State.REFUSES) {
+            running.forEach(job -> reportDelayed(job, Outcome.RESET));
+            queued.forEach(job -> reportDelayed(job, Outcome.RESET));
         }
-        if (to == State.REFUSES || to == State.HANGS) {
+        if (newState == State.REFUSES || newState == State.HANGS) {
             running.clear();
-            waiting.clear();
+            queued.clear();
         }
     }
 
     /** Its process ends. */
     void stop() {
-        turn(State.REFUSES);
-        listed = Sites.with(listed, ServerStatus.GONE, listed.startedAtUs());
+        setState(State.REFUSES);
+        listEntry = SampleDeployment.withStatus(listEntry, ServerStatus.GONE, listEntry.startedAtUs());
     }
 
     /** A new process starts, cold. */
     void start() {
         state = State.WELL;
-        listed = Sites.with(listed, ServerStatus.UP, loop.nowUs());
+        listEntry = SampleDeployment.withStatus(listEntry, ServerStatus.UP, loop.nowUs());
     }
 
     /** The share of its speed that it has now. */
-    double warmth() {
-        if (listed.startedAtUs() == 0) {
+    double relativeSpeed() {
+        if (listEntry.startedAtUs() == 0) {
             return 1;
         }
-        double age = (double) (loop.nowUs() - listed.startedAtUs()) / Sites.RULES.coldUs();
-        return Sites.RULES.coldFrom() + (1 - Sites.RULES.coldFrom()) * Math.min(1, age);
+        double warmUpProgress = (double) (loop.nowUs() - listEntry.startedAtUs()) / SampleDeployment.RULES
+                .coldUs();
+        return SampleDeployment.RULES.coldFrom() + (1 - SampleDeployment.RULES.coldFrom())
+                * Math.min(1, warmUpProgress);
     }
 
     /** Counts attempts that reach it from now on, over any window of this length. */
-    SlidingCount countArrivals(long windowUs) {
-        arrivals = new SlidingCount(windowUs);
+    SlidingWindowCounter countArrivals(long windowUs) {
+        arrivals = new SlidingWindowCounter(windowUs);
         return arrivals;
     }
 
     /** Most requests that it held at a time since this was last asked. */
-    int takeMostHeld() {
-        int most = mostHeld;
-        mostHeld = held();
-        return most;
+    int takePeakHeld() {
+        int peak = peakHeld;
+        peakHeld = requestsHeld();
+        return peak;
     }
 
-    private int held() {
-        return running.size() + waiting.size();
+    private int requestsHeld() {
+        return running.size() + queued.size();
     }
 
     /** Takes an attempt that needs so much work on a warm core. */
-    Job take(long workUs, Consumer<Outcome> told) {
-        Job job = new Job(workUs, told);
+    Job accept(long workUs, Consumer<Outcome> onOutcome) {
+        Job job = new Job(workUs, onOutcome);
         if (arrivals != null && state != State.REFUSES) {
             arrivals.add(loop.nowUs());
         }
         if (state == State.REFUSES) {
-            tellSoon(job, Outcome.CONNECT_FAILED);
+            reportDelayed(job, Outcome.CONNECT_FAILED);
         } else if (state == State.ERRS) {
-            tellSoon(job, Outcome.ERROR);
+            reportDelayed(job, Outcome.ERROR);
         } else if (state == State.WELL) {
             if (running.size() < CORES) {
                 run(job);
-            } else if (waiting.size() < QUEUE) {
-                waiting.add(job);
+            } else if (queued.size() < MAX_QUEUED) {
+                queued.add(job);
             } else {
-                tellSoon(job, Outcome.FULL);
+                reportDelayed(job, Outcome.FULL);
             }
-            mostHeld = Math.max(mostHeld, held());
+            peakHeld = Math.max(peakHeld, requestsHeld());
         }
         return job;
     }
 
     /** Nobody waits for the job any more: it leaves the queue, but runs on where it has begun. */
-    void drop(Job job) {
-        job.over = true;
-        waiting.remove(job);
+    void abandon(Job job) {
+        job.closed = true;
+        queued.remove(job);
     }
 
     private void run(Job job) {
         running.add(job);
-        loop.at(loop.nowUs() + (long) (job.workUs / warmth()), () -> {
+        loop.schedule(loop.nowUs() + (long) (job.workUs / relativeSpeed()), () -> {
             if (running.remove(job)) {
-                tell(job, Outcome.OK);
-                Job next = waiting.poll();
+                report(job, Outcome.OK);
+                Job next = queued.poll();
                 if (next != null) {
                     run(next);
                 }
@@ -149,14 +151,14 @@
         });
     }
 
-    private void tellSoon(Job job, Outcome outcome) {
-        loop.at(loop.nowUs() + FAST_US, () -> tell(job, outcome));
+    private void reportDelayed(Job job, Outcome outcome) {
+        loop.schedule(loop.nowUs() + FAST_RESPONSE_US, () -> report(job, outcome));
     }
 
-    private static void tell(Job job, Outcome outcome) {
-        if (!job.over) {
-            job.over = true;
-            job.told.accept(outcome);
+    private static void report(Job job, Outcome outcome) {
+        if (!job.closed) {
+            job.closed = true;
+            job.onOutcome.accept(outcome);
         }
     }
 }
--- a/lab/src/main/java/passhatch/lab/SlidingCount.java
+++ b/lab/src/main/java/passhatch/lab/SlidingWindowCounter.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /** Events in time, to find the window that holds the most of them against a budget that grows with time. */
-final class SlidingCount {
+final class SlidingWindowCounter {
 
     /** What may come within a window that begins at a time. */
     interface Budget {
-        double from(long startUs, long endUs);
+        double allowedEvents(long startUs, long endUs);
     }
 
     private final long windowUs;
     private final List<Long> timesUs = new ArrayList<>();
 
-    SlidingCount(long windowUs) {
+    SlidingWindowCounter(long windowUs) {
         this.windowUs = windowUs;
     }
 
@@ -28,16 +28,17 @@
     }
 
     /** The highest ratio of a window's events to its budget; 0 where nothing came. */
-    double worst(Budget budget) {
-        double worst = 0;
-        int last = 0;
-        for (int first = 0; first < timesUs.size(); first++) {
-            long endUs = timesUs.get(first) + windowUs;
-            while (last < timesUs.size() && timesUs.get(last) < endUs) {
-                last++;
+    double maxRatio(Budget budget) {
+        double maxRatio = 0;
+        int endIndex = 0;
+        for (int firstIndex = 0; firstIndex < timesUs.size(); firstIndex++) {
+            long endUs = timesUs.get(firstIndex) + windowUs;
+            while (endIndex < timesUs.size() && timesUs.get(endIndex) < endUs) {
+                endIndex++;
             }
-            worst = Math.max(worst, (last - first) / budget.from(timesUs.get(first), endUs));
+            maxRatio = Math.max(maxRatio,
+                    (endIndex - firstIndex) / budget.allowedEvents(timesUs.get(firstIndex), endUs));
         }
-        return worst;
+        return maxRatio;
     }
 }
--- a/lab/src/main/java/passhatch/lab/SoakCommand.java
+++ b/lab/src/main/java/passhatch/lab/SoakCommand.java
@@ -16,7 +16,7 @@
         description = "Real proxies under faults that overlap in time; ends with 1 where a rule broke.")
 final class SoakCommand implements Callable<Integer> {
 
-    private static final int VIOLATIONS_SHOWN = 10;
+    private static final int MAX_VIOLATIONS_SHOWN = 10;
 
     @Option(names = "--root", defaultValue = ".", paramLabel = "DIR",
             description = "folder of the project, with the service built (default: ${DEFAULT-VALUE})")
@@ -24,7 +24,7 @@
 
     @Option(names = "--logs", defaultValue = "lab/target/soak", paramLabel = "DIR",
             description = "where configurations and logs go (default: ${DEFAULT-VALUE})")
-    private Path logs;
+    private Path logDirectory;
 
     @Option(names = "--seed", defaultValue = "1", description = "the first seed (default: ${DEFAULT-VALUE})")
     private long seed;
@@ -41,7 +41,7 @@
     private int backends;
 
     @Option(names = "--seconds", defaultValue = "30", description = "of each run (default: ${DEFAULT-VALUE})")
-    private int seconds;
+    private int runSeconds;
 
     @Option(names = "--faults", defaultValue = "1.0", paramLabel = "N",
             description = "faults that begin in a second, on average (default: ${DEFAULT-VALUE})")
@@ -49,23 +49,25 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        int broken = 0;
-        for (long next = seed; next < seed + runs; next++) {
+        int failedRuns = 0;
+        for (long runSeed = seed; runSeed < seed + runs; runSeed++) {
             // Every other seed has its lists pushed.
-            Size size = new Size(proxies, backends, Duration.ofSeconds(seconds), faultsPerSecond,
-                    next % 2 == 0, new CallCosts(Duration.ofMillis(20), Duration.ZERO, Duration.ofSeconds(3),
+            Size size = new Size(proxies, backends, Duration.ofSeconds(runSeconds), faultsPerSecond,
+                    runSeed % 2 == 0, new CallCosts(Duration.ofMillis(20), Duration.ZERO,
+                    Duration.ofSeconds(3),
                             proxies, Duration.ofMillis(5)));
-            Report report = play(next, size);
+            Report report = runOnce(runSeed, size);
             System.out.println(report);
-            report.violations().stream().limit(VIOLATIONS_SHOWN).forEach(v -> System.out.println("  " + v));
-            broken += report.violations().isEmpty() ? 0 : 1;
+            report.violations().stream().limit(MAX_VIOLATIONS_SHOWN)
+                    .forEach(v -> System.out.println("  " + v));
+            failedRuns += report.violations().isEmpty() ? 0 : 1;
         }
-        System.out.println(runs - broken + " of " + runs + " runs kept all rules");
-        return broken == 0 ? 0 : 1;
+        System.out.println(runs - failedRuns + " of " + runs + " runs kept all rules");
+        return failedRuns == 0 ? 0 : 1;
     }
 
-    private Report play(long one, Size size) throws IOException, InterruptedException {
-        try (SoakRun run = new SoakRun(root, logs.resolve("seed-" + one), one, size)) {
+    private Report runOnce(long runSeed, Size size) throws IOException, InterruptedException {
+        try (SoakRun run = new SoakRun(root, logDirectory.resolve("seed-" + runSeed), runSeed, size)) {
             run.start();
             return run.play();
         }
--- /dev/null
+++ b/lab/src/main/java/passhatch/lab/TrafficStatistics.java
@@ -0,0 +1,84 @@
+package passhatch.lab;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.HdrHistogram.Histogram;
+
+/** What the clients of a fleet saw, second by second of simulated time. */
+final class TrafficStatistics {
+
+    /** One second: the requests that came in it, how they ended, and the further attempts sent in it. */
+    static final class Interval {
+        private final Histogram latenciesUs = new Histogram(3_600_000_000L, 2);
+        private long requestCount;
+        private long extraAttemptCount;
+        private long unservedCount;
+
+        /** Retries and hedged requests sent in this second, for each request that came in it. */
+        double extraAttempts() {
+            return requestCount == 0 ? 0 : (double) extraAttemptCount / requestCount;
+        }
+
+        double unservedShare() {
+            return requestCount == 0 ? 0 : (double) unservedCount / requestCount;
+        }
+
+        double meanLatencyUs() {
+            return latenciesUs.getMean();
+        }
+
+        double p99LatencyUs() {
+            return latenciesUs.getValueAtPercentile(99);
+        }
+    }
+
+    private final long startUs;
+    private final List<Interval> intervals = new ArrayList<>();
+
+    TrafficStatistics(long startUs) {
+        this.startUs = startUs;
+    }
+
+    private Interval intervalAt(long timeUs) {
+        int index = (int) ((timeUs - startUs) / 1_000_000);
+        while (intervals.size() <= index) {
+            intervals.add(new Interval());
+        }
+        return intervals.get(index);
+    }
+
+    void requestArrived(long atUs) {
+        intervalAt(atUs).requestCount++;
+    }
+
+    /** A retry or a hedged request. */
+    void extraAttemptSent(long atUs) {
+        intervalAt(atUs).extraAttemptCount++;
+    }
+
+    void requestServed(long arrivedUs, long latencyUs) {
+        intervalAt(arrivedUs).latenciesUs.recordValue(latencyUs);
+    }
+
+    void requestUnserved(long arrivedUs) {
+        intervalAt(arrivedUs).unservedCount++;
+    }
+
+    /** The seconds from one to before another, counted from the start. */
+    List<Interval> between(int fromS, int toS) {
+        intervalAt(startUs + toS * 1_000_000L);
+        return List.copyOf(intervals.subList(fromS, toS));
+    }
+
+    /** All of these seconds as one. */
+    static Interval sum(List<Interval> intervals) {
+        Interval total = new Interval();
+        for (Interval interval : intervals) {
+            total.requestCount += interval.requestCount;
+            total.extraAttemptCount += interval.extraAttemptCount;
+            total.unservedCount += interval.unservedCount;
+            total.latenciesUs.add(interval.latenciesUs);
+        }
+        return total;
+    }
+}
--- a/lab/src/main/java/passhatch/lab/control/ProxyFleet.java
+++ b/lab/src/main/java/passhatch/lab/control/ProxyFleet.java
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public void inForce(ListKind kind, List<Server> servers) {
+        public void listApplied(ListKind kind, List<Server> servers) {
             Propagation counted = propagation;
             if (kind != ListKind.CACHED && counted != null) {
                 counted.inForce(number, servers);
--- a/lab/src/main/java/passhatch/lab/latency/LatencyTrial.java
+++ b/lab/src/main/java/passhatch/lab/latency/LatencyTrial.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletionException;
 import java.util.function.Consumer;
 import passhatch.lab.Results;
-import passhatch.lab.ServiceCommand;
+import passhatch.lab.DeployFile;
 import passhatch.lab.discovery.CallCosts;
 import passhatch.lab.discovery.DiscoveryListener;
 import passhatch.lab.discovery.DiscoveryServer;
@@ -92,7 +92,7 @@
         direct = new OpenLoopLoad(backends.addresses().get(0), MOST_CONNECTIONS, 1);
         through = new OpenLoopLoad(proxy.address(), MOST_CONNECTIONS, 2);
         boolean archive = Files.exists(root.resolve("target/passhatch.jsa"));
-        results.note("The proxy was started with: `" + ServiceCommand.run(root) + "`; the class archive "
+        results.note("The proxy was started with: `" + DeployFile.runCommand(root) + "`; the class archive "
                 + (archive ? "was" : "was not") + " there.");
         results.note("Latency of calls. Cores: " + cores + ". Calls are GET without a body; " + BACKENDS
                 + " backends in one process answer at once.");
--- a/lab/src/main/java/passhatch/lab/latency/ServedProxy.java
+++ b/lab/src/main/java/passhatch/lab/latency/ServedProxy.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import passhatch.lab.ServiceCommand;
+import passhatch.lab.DeployFile;
 
 /** A proxy in a process of its own, started as the deploy file's {@code run} says. */
 final class ServedProxy implements Closeable {
@@ -49,7 +49,7 @@
         Path config = folder.resolve("config.json");
         Files.writeString(config, JSON.std.asString(config()));
         ProcessBuilder builder = new ProcessBuilder(
-                cores.onProxys(List.of("/bin/sh", "-c", ServiceCommand.run(root))));
+                cores.onProxys(List.of("/bin/sh", "-c", DeployFile.runCommand(root))));
         builder.environment().putAll(Map.of("PROXY_NAME", "n0", "PROXY_LISTEN", text(address),
                 "PROXY_DISCOVERY", text(discovery), "PROXY_CONFIG", config.toString(),
                 "TMPDIR", folder.toString()));
--- a/lab/src/main/java/passhatch/lab/soak/ProxyInstance.java
+++ b/lab/src/main/java/passhatch/lab/soak/ProxyInstance.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import passhatch.lab.ServiceCommand;
+import passhatch.lab.DeployFile;
 
 /** One proxy under test: its address and configuration, and the process that serves there now. */
 final class ProxyInstance implements Closeable {
@@ -106,7 +106,7 @@
     /** Starts its process; {@link #awaitReady} tells when it serves. */
     void start() throws IOException {
         writeConfig();
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", ServiceCommand.run(root));
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", DeployFile.runCommand(root));
         builder.environment().putAll(Map.of("PROXY_NAME", "n" + number, "PROXY_LISTEN", text(address),
                 "PROXY_DISCOVERY", text(discovery), "PROXY_CONFIG", config().toString(),
                 "TMPDIR", folder.toString()));
--- a/lab/src/main/java/passhatch/proxy/ObservedBalancer.java
+++ b/lab/src/main/java/passhatch/proxy/ObservedBalancer.java
@@ -17,12 +17,12 @@
     @Override
     public void serversChanged(long nowUs, ListKind kind, List<Server> servers) {
         balancer.serversChanged(nowUs, kind, servers);
-        observer.inForce(kind, servers);
+        observer.listApplied(kind, servers);
     }
 
     @Override
-    public void discoveryFailed(long nowUs, DiscoveryFailure how) {
-        balancer.discoveryFailed(nowUs, how);
+    public void discoveryFailed(long nowUs, DiscoveryFailure failure) {
+        balancer.discoveryFailed(nowUs, failure);
     }
 
     @Override
--- a/lab/src/main/java/passhatch/proxy/WatchingProxy.java
+++ b/lab/src/main/java/passhatch/proxy/WatchingProxy.java
@@ -17,14 +17,14 @@
 
     private static final long CONNECT_TIMEOUT_US = 250_000;
     /** Backend connections that it may hold; it opens none. */
-    private static final int BACKEND_CONNECTIONS = 1;
+    private static final int MAX_BACKEND_CONNECTIONS = 1;
 
     private final ProxyLoop proxy;
 
     /** Hears of each list that the module has taken in. */
     public interface Observer {
         /** The module has been told; that, and all it does on it, is over. */
-        void inForce(Balancer.ListKind kind, List<Balancer.Server> servers);
+        void listApplied(Balancer.ListKind kind, List<Balancer.Server> servers);
     }
 
     /**
@@ -32,21 +32,22 @@
      * happens to it afterwards happens there.
      *
      * @param zones names of the zones, by position, as discovery writes them
-     * @param models names of the machine kinds, by position
+     * @param machineTypes names of the machine kinds, by position
      * @param log takes the lines of the event log
      */
     public WatchingProxy(EventLoop loop, InetSocketAddress discovery, long seed, Settings settings,
-            List<String> zones, List<String> models, Observer observer, PrintStream log) {
+            List<String> zones, List<String> machineTypes, Observer observer, PrintStream log) {
         ProxyConfig config = new ProxyConfig("simulated", new InetSocketAddress(
                 InetAddress.getLoopbackAddress(), 0), discovery, seed, settings, List.of("any"), List.of(),
-                zones, models, CONNECT_TIMEOUT_US, BACKEND_CONNECTIONS, EndpointList.EMPTY, null, null);
+                zones, machineTypes, CONNECT_TIMEOUT_US, MAX_BACKEND_CONNECTIONS, EndpointList.EMPTY, null,
+                null);
         Clock clock = new Clock();
-        EventLog events = new EventLog(log);
-        BackendPool pool = new BackendPool(loop, clock, events, CONNECT_TIMEOUT_US,
-                settings.limits().keepaliveUs(), BACKEND_CONNECTIONS);
-        proxy = new ProxyLoop(loop, clock, events, config, pool,
-                (told, number, actions) ->
-                new ObservedBalancer(new LeastLoadedBalancer(told, number, actions), observer));
+        EventLog eventLog = new EventLog(log);
+        BackendPool pool = new BackendPool(loop, clock, eventLog, CONNECT_TIMEOUT_US,
+                settings.limits().keepaliveUs(), MAX_BACKEND_CONNECTIONS);
+        proxy = new ProxyLoop(loop, clock, eventLog, config, pool,
+                (moduleSettings, moduleSeed, actions) ->
+                new ObservedBalancer(new LeastLoadedBalancer(moduleSettings, moduleSeed, actions), observer));
     }
 
     /** Closes its watch and opens none again. To be called in its event loop. */
