--- a/lab/src/main/java/passhatch/lab/AllCommand.java
+++ b/lab/src/main/java/passhatch/lab/AllCommand.java
@@ -6,9 +6,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Runs every part with its defaults, one after the other, into one table. */
+/** Runs every scale test with its default options, one after the other, and writes one table. */
 @Command(name = "all", mixinStandardHelpOptions = true,
-        description = "All scale tests at their full sizes, into one table.")
+        description = "Runs all scale tests at their full sizes and writes one table.")
 final class AllCommand implements Callable<Integer> {
 
     @Mixin
--- a/lab/src/main/java/passhatch/lab/DeployFile.java
+++ b/lab/src/main/java/passhatch/lab/DeployFile.java
@@ -6,7 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** How the service is started where it is in use. */
+/** Reads the deploy file, {@code deploy/balancer.toml}. */
 public final class DeployFile {
 
     private static final Pattern RUN_LINE = Pattern.compile("(?m)^run\\s*=\\s*\"((?:[^\"\\\\]|\\\\.)*)\"");
@@ -14,14 +14,15 @@
     private DeployFile() { }
 
     /**
-     * The shell command that the deploy file runs a proxy with, to be started in the project's folder.
+     * Returns the shell command that starts a proxy, to be run in the directory of the project.
      *
-     * @throws IOException where the deploy file cannot be read or has no line {@code run}
+     * @param root directory of the project
+     * @throws IOException if the deploy file can't be read or has no key {@code run}
      */
     public static String runCommand(Path root) throws IOException {
         Matcher matcher = RUN_LINE.matcher(Files.readString(root.resolve("deploy/balancer.toml")));
         if (!matcher.find()) {
-            throw new IOException("deploy/balancer.toml has no line 'run'");
+            throw new IOException("deploy/balancer.toml has no key 'run' with a quoted command");
         }
         return matcher.group(1).replace("\\\"", "\"").replace("\\\\", "\\");
     }
--- a/lab/src/main/java/passhatch/lab/FailingServersScenario.java
+++ b/lab/src/main/java/passhatch/lab/FailingServersScenario.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A part of the servers fails for a while, and discovery does not notice. */
+/** Some of the servers fail for a while, and discovery lists them as up all the time. */
 final class FailingServersScenario implements Scenario {
 
     private static final int ONSET_END_S = BASELINE_END_S + 5;
@@ -12,6 +12,12 @@
     private final int oneIn;
     private final SimulatedServer.State failure;
 
+    /**
+     * A scenario with failing servers.
+     *
+     * @param oneIn one server in so many fails
+     * @param failure how they fail
+     */
     FailingServersScenario(int oneIn, SimulatedServer.State failure) {
         this.oneIn = oneIn;
         this.failure = failure;
@@ -24,7 +30,7 @@
         fleet.runUntil(BASELINE_END_S);
         failing.forEach(s -> s.setState(failure));
         fleet.runUntil(FAILURE_END_S);
-        // Those that fail at the end have until their deadline.
+        // Requests of the last second may end as late as their deadline.
         fleet.runUntil(FAILURE_END_S + (int) (SampleDeployment.DEADLINE_US / 1_000_000) + 1);
         List<TrafficStatistics.Interval> duringFailure = fleet.statistics()
                 .between(BASELINE_END_S, FAILURE_END_S);
--- a/lab/src/main/java/passhatch/lab/FleetCommand.java
+++ b/lab/src/main/java/passhatch/lab/FleetCommand.java
@@ -13,12 +13,15 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Measures what many instances of the module do together, in simulated time. */
+/**
+ * Measures in simulated time how the replicas of the proxy together use the servers. A replica is called a
+ * copy in options and results; a pairing is a replica together with a server that it uses.
+ */
 @Command(name = "fleet", mixinStandardHelpOptions = true,
-        description = "The fleet in simulated time: pairings, cold and failing servers, the loss of a zone.")
+        description = "Measures a simulated fleet: pairings, cold and failing servers, the loss of a zone.")
 final class FleetCommand implements Callable<Integer>, ScaleTest {
 
-    /** Copies x servers beyond which pairings are observed in one run only. */
+    /** Replicas times servers above which pairings are observed in a single run. */
     private static final long SINGLE_RUN_ABOVE_PAIRS = 1_000_000;
 
     @Mixin
@@ -30,19 +33,19 @@
     private List<FleetSize> sizes;
 
     @Option(names = "--observe-up-to", defaultValue = "10000000", paramLabel = "N",
-            description = "copies times servers up to which the pairings of every copy are observed; beyond, "
-                    + "of a sample (default: ${DEFAULT-VALUE})")
+            description = "copies times servers up to which the pairings of every copy are observed; above, "
+                    + "those of a sample (default: ${DEFAULT-VALUE})")
     private long maxObservedPairs;
 
     @Option(names = "--others", defaultValue = "15", paramLabel = "N",
-            description = "servers that a sampled copy does not use and is shown to change: what moves fewer "
-                    + "than 1 in " + FleetSubsets.SAMPLED_REPLICAS + " N such copies stays unseen "
+            description = "servers that change for a sampled copy without being used by it: an effect on "
+                    + "fewer than 1 in " + FleetSubsets.SAMPLED_REPLICAS + " N such copies may go unnoticed "
                     + "(default: ${DEFAULT-VALUE})")
     private int unusedServersChanged;
 
     @Option(names = "--play-up-to", defaultValue = "1000000", paramLabel = "N",
-            description = "copies times servers up to which traffic is played, some 400 bytes each, times "
-                    + "cores (default: ${DEFAULT-VALUE})")
+            description = "copies times servers up to which traffic is simulated, about 400 bytes each "
+                    + "per core (default: ${DEFAULT-VALUE})")
     private long maxTrafficPairs;
 
     @Override
@@ -53,11 +56,11 @@
 
     @Override
     public void measure(RunOptions runOptions, Results results, ProgressLog progress) {
-        results.note("Sizes are copies x servers. Pairings: a copy uses a server, as seen by its sends; each "
+        results.note("Sizes are copies x servers. Pairings: a copy and a server that it sends calls to; each "
                 + "changed server of each run counts as a run. Traffic: Poisson arrivals, "
-                + SimulatedFleet.UTILISATION + " of the servers' time, a mean of "
-                + SimulatedFleet.MEAN_WORK_US / 1e6
-                + " s of work on one of " + SimulatedServer.CORES + " cores, clients that try once.");
+                + SimulatedFleet.UTILISATION + " of the servers' capacity, a mean of "
+                + SimulatedFleet.MEAN_WORK_US / 1e6 + " s of work on one of " + SimulatedServer.CORES
+                + " cores, clients that do not retry.");
         for (FleetSize size : sizes) {
             long runs = size.pairCount() > SINGLE_RUN_ABOVE_PAIRS ? 1 : runOptions.runs;
             progress.print("fleet, pairings, " + size);
@@ -65,7 +68,7 @@
                     .mapToObj(seed -> new FleetSubsets(size, seed, maxObservedPairs, unusedServersChanged))
                     .toList());
             if (size.pairCount() > maxTrafficPairs) {
-                results.note("Traffic at " + size + " was left out: beyond --play-up-to " + maxTrafficPairs
+                results.note("Traffic at " + size + " was left out: above --play-up-to " + maxTrafficPairs
                         + ".");
             } else {
                 progress.print("fleet, traffic, " + size);
@@ -87,12 +90,10 @@
         } else {
             int sampledReplicas = FleetSubsets.SAMPLED_REPLICAS;
             results.note("Pairings at " + size + ": estimated from " + sampledReplicas
-                    + " copies, each shown changes "
-                    + "of servers that it uses and of " + unusedServersChanged
-                    + " others. What moves fewer than 1 in "
-                    + sampledReplicas * unusedServersChanged
-                    + " of the copies that do not use the server may be unseen. The "
-                    + "busiest server was left out.");
+                    + " copies, each shown changes of servers that it uses and of " + unusedServersChanged
+                    + " others. An effect on fewer than 1 in " + sampledReplicas * unusedServersChanged
+                    + " of the copies that do not use the server may go unnoticed. The busiest server was "
+                    + "left out.");
         }
         for (ServerChange change : ServerChange.values()) {
             String prefix = "server " + change.name().toLowerCase(Locale.ROOT) + ": ";
@@ -121,7 +122,7 @@
         }
         List<List<Measurement>> outcomes = IntStream.range(0, scenarios.size() * runOptions.runs).parallel()
                 .mapToObj(i -> scenarios.get(i / runOptions.runs).run(size,
-                runOptions.seed + i % runOptions.runs)).toList();
+                        runOptions.seed + i % runOptions.runs)).toList();
         for (int i = 0; i < outcomes.size(); i += runOptions.runs) {
             List<List<Measurement>> runs = outcomes.subList(i, i + runOptions.runs);
             for (int position = 0; position < runs.get(0).size(); position++) {
--- a/lab/src/main/java/passhatch/lab/FleetSize.java
+++ b/lab/src/main/java/passhatch/lab/FleetSize.java
@@ -4,14 +4,17 @@
 import picocli.CommandLine.TypeConversionException;
 
 /**
- * A fleet's size, written as 1000x300.
+ * The size of a fleet; options write it as REPLICASxSERVERS, such as 1000x300.
  *
- * @param replicas instances that send to the same servers
- * @param servers servers in the list
+ * @param replicas number of replicas of the proxy that send to the same servers
+ * @param servers number of servers in the list
  */
 record FleetSize(int replicas, int servers) {
 
-    /** How many views of a server the instances hold together: what memory and time grow with. */
+    /**
+     * Replicas times servers: the number of server states that all replicas hold, with which memory and time
+     * grow.
+     */
     long pairCount() {
         return (long) replicas * servers;
     }
@@ -21,7 +24,7 @@
         return replicas + " x " + servers;
     }
 
-    /** Reads a size from the command line. */
+    /** Reads a size from the command line; the message of its exception names what is expected. */
     static final class Converter implements ITypeConverter<FleetSize> {
         @Override
         public FleetSize convert(String text) {
@@ -32,9 +35,9 @@
                     return size;
                 }
             } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
-                throw new TypeConversionException("COPIESxSERVERS is wanted, not '" + text + "'");
+                throw new TypeConversionException("expected COPIESxSERVERS, got '" + text + "'");
             }
-            throw new TypeConversionException("COPIESxSERVERS is wanted, not '" + text + "'");
+            throw new TypeConversionException("expected COPIESxSERVERS, got '" + text + "'");
         }
     }
 }
--- a/lab/src/main/java/passhatch/lab/FleetSubsets.java
+++ b/lab/src/main/java/passhatch/lab/FleetSubsets.java
@@ -12,50 +12,58 @@
 import passhatch.Balancer.Server;
 
 /**
- * Which copy uses which server, and how that moves when one server changes. Instances know nothing of each
- * other, so each is built, observed and dropped by itself, and only what was seen of it is kept.
+ * The servers that each replica of a fleet uses, and how these subsets change when one server changes. A
+ * pairing is a replica together with a server that it uses. Replicas don't communicate, so that each is
+ * created, observed and discarded on its own, and only the observations are kept.
  *
- * <p>Where a fleet is too large to build every instance, some are observed. As few copies use a given server,
- * each of those is shown changes of servers that it uses and of others, and both are weighed by how often
- * they come.
+ * <p>In a fleet that is too large to create every replica, a sample is observed. As only few replicas use a
+ * given server, each replica of the sample is shown changes of servers that it uses and of servers that it
+ * does not use, and the means of both kinds are weighted by the share of replicas that use a server.
  */
 final class FleetSubsets {
 
-    /** Changed servers of a run, where every copy is observed. */
+    /** Number of servers that change in a run in which every replica is observed. */
     private static final int CHANGED_SERVERS = 5;
-    /** Copies observed where not all are, and the servers that each uses and is shown to change. */
+    /** Number of replicas in a sample. */
     static final int SAMPLED_REPLICAS = 16;
+    /** Number of servers that change for each replica of a sample, of those that it uses. */
     private static final int USED_SERVERS_CHANGED = 3;
-    /** Copies that are restarted. */
+    /** Approximate number of replicas that are restarted. */
     private static final int RESTARTED_REPLICAS = 64;
-    /** Calls of each copy from which its servers' load is counted; a multiple of the usual subset sizes. */
+    /**
+     * Calls that each replica sends to measure the load of its servers; a multiple of common subset sizes.
+     */
     private static final int CALLS_PER_REPLICA = 840;
 
     /**
-     * How the fleet took one change.
+     * The effect of one change on the pairings of the fleet.
      *
-     * @param users copies that used the server
-     * @param newPairings new pairings when it changed
-     * @param newPairingsAfter new pairings when that was over
-     * @param returnedShare share of the pairings before that are there again after
+     * @param users number of replicas that used the server
+     * @param newPairings pairings that were new after the change
+     * @param newPairingsAfter pairings that were new after the change was reverted
+     * @param returnedShare share of the pairings before the change that exist after it was reverted, 0 to 1
      */
     record ChangeEffect(double users, double newPairings, double newPairingsAfter, double returnedShare) {
 
-        /** New pairings for each copy that used the server, at the change or its end, whichever had more. */
+        /**
+         * New pairings divided by the replicas that used the server, after the change or after it was
+         * reverted, whichever is greater.
+         */
         double newPairingsPerUser() {
             double most = Math.max(newPairings, newPairingsAfter);
             return most == 0 ? 0 : most / Math.max(1, users);
         }
     }
 
-    /** The same of one copy; the pairings that are there again are counted, and all before. */
+    /**
+     * The effect of one change on one replica. Pairings are counts; {@code used} is about the changed server.
+     */
     private record Observation(int serverIndex, boolean used, int newPairings, int newPairingsAfter,
             int returnedPairings, int pairingsBefore) { }
 
-    /** All that is kept of a copy. Its restart is null where it wasn't restarted. */
+    /** All observations of one replica; {@code keptAcrossRestart} is null if it was not restarted. */
     private record ReplicaObservations(Set<String> subset, Map<String, Integer> callsByServer,
-            Boolean keptAcrossRestart,
-            Map<ServerChange, List<Observation>> observations) { }
+            Boolean keptAcrossRestart, Map<ServerChange, List<Observation>> observations) { }
 
     private final FleetSize size;
     private final long seed;
@@ -66,10 +74,12 @@
     private final List<ReplicaObservations> replicas;
 
     /**
-     * Observes a fleet, on all cores.
+     * Observes a fleet, using all cores.
      *
-     * @param maxObservedPairs copies x servers up to which every copy is observed
-     * @param unusedServersChanged beyond, the servers that a copy does not use and is shown to change
+     * @param seed of the servers and of the replicas; the same seed gives the same observations
+     * @param maxObservedPairs replicas times servers up to which every replica is observed; above, a sample
+     * @param unusedServersChanged number of servers that change for each replica of a sample, of those that
+     *     it does not use
      */
     FleetSubsets(FleetSize size, long seed, long maxObservedPairs, int unusedServersChanged) {
         this.size = size;
@@ -95,20 +105,20 @@
         Boolean keptAcrossRestart = restarted ? subsetAfterRestart(replicaIndex, random).equals(subset)
                 : null;
         return new ReplicaObservations(subset, callsByServer, keptAcrossRestart,
-                observeChanges(replica, allObserved ? changedServersForAll()
-                : changedServersFor(subset, random)));
+                observeChanges(replica,
+                        allObserved ? changedServersForAll() : changedServersFor(subset, random)));
     }
 
-    /** What the copy uses once it is started anew and told the list in another order. */
+    /** Returns the subset of a replica that is restarted and gets the list in another order. */
     private Set<String> subsetAfterRestart(int replicaIndex, SplittableRandom random) {
         List<Server> otherOrder = SampleDeployment.shuffled(list, random.nextLong());
         return new ObservedReplica(size.replicas(), replicaIndex, random.nextLong(), otherOrder)
                 .settledSubset();
     }
 
-    /** Shows an instance every change, of one server after the other. */
-    private Map<ServerChange,
-            List<Observation>> observeChanges(ObservedReplica replica, List<Server> changedServers) {
+    /** Applies and reverts each kind of change for each of the servers, one after another. */
+    private Map<ServerChange, List<Observation>> observeChanges(ObservedReplica replica,
+            List<Server> changedServers) {
         Map<ServerChange, List<Observation>> observations = new EnumMap<>(ServerChange.class);
         Set<String> currentSubset = replica.settledSubset();
         for (ServerChange change : ServerChange.values()) {
@@ -142,29 +152,34 @@
         return changed;
     }
 
-    /** How many of these are not among the others. */
+    /** Counts the servers that are not among the others. */
     private static int countNotIn(Set<String> servers, Set<String> others) {
         return (int) servers.stream().filter(s -> !others.contains(s)).count();
     }
 
-    /** Whether every copy was observed; else the moves are estimates, and no server's load is known. */
+    /**
+     * Whether every replica was observed; else the effects are estimates, and the load of servers is unknown.
+     */
     boolean allObserved() {
         return allObserved;
     }
 
-    /** Servers that a copy uses, on average. */
+    /** Returns the mean number of servers that a replica uses. */
     double subsetSize() {
         return replicas.stream().mapToInt(c -> c.subset().size()).average().orElseThrow();
     }
 
-    /** The pairings of the server with the most, over the mean of all servers. */
+    /** Returns the pairings of the server that has most, divided by the mean over all servers. */
     double maxToMeanPairings() {
         Map<String, Integer> users = new HashMap<>();
         replicas.forEach(c -> c.subset().forEach(s -> users.merge(s, 1, Integer::sum)));
         return maxToMean(users);
     }
 
-    /** The calls of the server with the most, over the mean, where every copy sends equally many, evenly. */
+    /**
+     * Returns the calls of the server that receives most, divided by the mean over all servers. Every replica
+     * sends the same number of calls, at equal intervals.
+     */
     double maxToMeanCalls() {
         Map<String, Integer> calls = new HashMap<>();
         replicas.forEach(c -> c.callsByServer().forEach((s, n) -> calls.merge(s, n, Integer::sum)));
@@ -177,13 +192,16 @@
         return max / ((double) total / size.servers());
     }
 
-    /** Share of the restarted copies that use the same servers after it, told in another order. */
+    /**
+     * Returns the share, 0 to 1, of the restarted replicas that use the same servers after the restart,
+     * although they get the list in another order.
+     */
     double keptAcrossRestart() {
         return replicas.stream().filter(c -> c.keptAcrossRestart() != null)
                 .mapToInt(c -> c.keptAcrossRestart() ? 1 : 0).average().orElseThrow();
     }
 
-    /** How the fleet took the change: one entry for each changed server, or one estimate. */
+    /** Returns the effects of a kind of change: one for each changed server, or a single estimate. */
     List<ChangeEffect> effects(ServerChange change) {
         List<Observation> observations = replicas.stream()
                 .flatMap(c -> c.observations().get(change).stream()).toList();
@@ -207,7 +225,7 @@
                 returnedShare(observations));
     }
 
-    /** What all copies together do, if this part of them uses a server. */
+    /** Extrapolates a count from the sample to the fleet, of whose replicas the given share uses a server. */
     private double extrapolate(List<Observation> observations, double usingShare,
             ToDoubleFunction<Observation> value) {
         double meanOfUsers = observations.stream().filter(Observation::used).mapToDouble(value).average()
--- a/lab/src/main/java/passhatch/lab/Lab.java
+++ b/lab/src/main/java/passhatch/lab/Lab.java
@@ -3,9 +3,12 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The laboratory's command line: scale tests of the module, of a fleet and of the control path. */
+/**
+ * The command line of the laboratory: scale tests of the decision module, of a fleet and of the control path,
+ * measurements of latency, and soak runs with faults.
+ */
 @Command(name = "lab", mixinStandardHelpOptions = true, version = "passhatch-lab 0.1.0",
-        description = "Measures the proxy at the size it is planned for, with its own code.",
+        description = "Measures the code of the proxy at the fleet sizes that it is planned for.",
         subcommands = {
             AllCommand.class,
             ModuleCommand.class,
--- a/lab/src/main/java/passhatch/lab/LatencyCommand.java
+++ b/lab/src/main/java/passhatch/lab/LatencyCommand.java
@@ -9,20 +9,21 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Measures what a proxy in a process of its own adds to a call. */
+/** Measures the latency and the processor time that a proxy in a process of its own adds to a call. */
 @Command(name = "latency", mixinStandardHelpOptions = true,
-        description = "What the proxy adds to a call: processor time, 50th and 99th percentile, open loop.")
+        description = "What the proxy adds to a call at open-loop load: processor time, 50th and 99th "
+                + "percentile of the latency.")
 final class LatencyCommand implements Callable<Integer>, ScaleTest {
 
     @Mixin
     private RunOptions options;
 
     @Option(names = "--root", defaultValue = ".", paramLabel = "DIR",
-            description = "folder of the project, with the service built (default: ${DEFAULT-VALUE})")
+            description = "directory of the project, with the service built (default: ${DEFAULT-VALUE})")
     private Path root;
 
     @Option(names = "--seconds", defaultValue = "5", paramLabel = "S",
-            description = "length of each run (default: ${DEFAULT-VALUE})")
+            description = "length of each run, in seconds (default: ${DEFAULT-VALUE})")
     private int runSeconds;
 
     @Override
--- a/lab/src/main/java/passhatch/lab/ModuleBenchmark.java
+++ b/lab/src/main/java/passhatch/lab/ModuleBenchmark.java
@@ -21,8 +21,8 @@
 import passhatch.LeastLoadedBalancer;
 
 /**
- * What single events cost the module, by servers in its list and instances that share them. Run by
- * {@link ModuleCommand}, which sets forks, warm-up and the service's JIT.
+ * Time that the decision module takes for single events, by the number of servers in its list and of replicas
+ * that share them. {@link ModuleCommand} runs it with forks, warm-up and the JIT options of the service.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -32,8 +32,10 @@
     private static final long EVENT_INTERVAL_US = 20_000;
     private static final long SERVICE_TIME_US = 15_000;
 
+    /** Number of servers in the list. */
     @Param({"30", "300", "3000", "19000"})
     public int servers;
+    /** Number of replicas that send to these servers. */
     @Param({"1", "100", "1000", "19000"})
     public int replicas;
 
@@ -48,7 +50,7 @@
     private long nextRequestId;
     private int invocations;
 
-    /** The lists alone: what {@link #firstList} starts from. */
+    /** Creates the lists only: {@link #firstList} measures the creation of the module. */
     @Setup(Level.Trial)
     public void createLists() {
         fullList = SampleDeployment.servers(servers, 1);
@@ -75,7 +77,7 @@
         return module;
     }
 
-    /** A request, its send and its outcome; one call in flight at a time. */
+    /** Measures a request, its send and its outcome, with one call in flight at a time. */
     @Benchmark
     public void decision() {
         Balancer balancer = sharedModule();
@@ -86,7 +88,7 @@
                 true, null);
     }
 
-    /** A list that tells of one server: gone, back, draining and back in turn; the time is one list's. */
+    /** Measures one change list about one server, which in turn is gone, up, draining and up. */
     @Benchmark
     public void changeOneServer() {
         nowUs += EVENT_INTERVAL_US;
@@ -98,14 +100,14 @@
         sharedModule().serversChanged(nowUs, ListKind.CHANGES, changes);
     }
 
-    /** A whole list that says what is known. */
+    /** Measures a full list that changes nothing. */
     @Benchmark
     public void fullListUnchanged() {
         nowUs += EVENT_INTERVAL_US;
         sharedModule().serversChanged(nowUs, ListKind.FULL, fullList);
     }
 
-    /** A whole list in which one server is missing, or back, in turn. */
+    /** Measures a full list in which, in turn, one server is missing or present again. */
     @Benchmark
     public void fullListOneChange() {
         nowUs += EVENT_INTERVAL_US;
@@ -113,7 +115,7 @@
                 (invocations++ & 1) == 0 ? listWithoutOne : fullList);
     }
 
-    /** A new instance and its first list. */
+    /** Measures the creation of a module and its first list. */
     @Benchmark
     @BenchmarkMode(Mode.SingleShotTime)
     public Balancer firstList() {
--- a/lab/src/main/java/passhatch/lab/ModuleCommand.java
+++ b/lab/src/main/java/passhatch/lab/ModuleCommand.java
@@ -17,9 +17,12 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Measures what events cost one instance of the module, each figure in forks with the service's JIT. */
+/**
+ * Measures the time that events take in one instance of the decision module, in forked JVMs with the JIT
+ * options of the service, and the heap that it retains. A replica is called a copy in options and results.
+ */
 @Command(name = "module", mixinStandardHelpOptions = true,
-        description = "The module's costs by servers and copies: decision, change, lists, bytes a server.")
+        description = "Costs of the module by servers and copies: decision, change, lists, bytes a server.")
 final class ModuleCommand implements Callable<Integer>, ScaleTest {
 
     private static final int FORKS = 2;
@@ -28,11 +31,11 @@
     private RunOptions options;
 
     @Option(names = "--servers", split = ",", defaultValue = "30,300,3000,19000",
-            description = "servers in the list (default: ${DEFAULT-VALUE})")
+            description = "numbers of servers in the list (default: ${DEFAULT-VALUE})")
     private List<Integer> servers;
 
     @Option(names = "--copies", split = ",", defaultValue = "1,100,1000,19000",
-            description = "instances that share them (default: ${DEFAULT-VALUE})")
+            description = "numbers of copies of the proxy that share the servers (default: ${DEFAULT-VALUE})")
     private List<Integer> replicas;
 
     @Override
@@ -45,8 +48,8 @@
     public void measure(RunOptions runOptions, Results results, ProgressLog progress) throws RunnerException {
         results.note("Sizes are copies x servers. Times: JMH, " + FORKS + " forks with "
                 + "-XX:TieredStopAtLevel=1 -XX:+UseSerialGC, warmed up; runs are iterations over all forks. "
-                + "Cold is a fork's first call, warm the second half of its calls. "
-                + "Bytes: live heap by difference, names included.");
+                + "Cold is the first call of a fork, warm the second half of its calls. "
+                + "Bytes: growth of the live heap, names of servers included.");
         for (int serverCount : servers) {
             for (int replicaCount : replicas) {
                 String size = replicaCount + " x " + serverCount;
@@ -61,8 +64,9 @@
                 }
                 results.add("retained heap a server", size, "bytes",
                         IntStream.range(0, serverCount > 3000 ? 1 : 2)
-                        .mapToDouble(i -> RetainedHeap.bytesPerServer(serverCount, replicaCount,
-                        runOptions.seed + i)).toArray());
+                                .mapToDouble(i -> RetainedHeap.bytesPerServer(
+                                        serverCount, replicaCount, runOptions.seed + i))
+                                .toArray());
             }
         }
     }
--- a/lab/src/main/java/passhatch/lab/NoOpActions.java
+++ b/lab/src/main/java/passhatch/lab/NoOpActions.java
@@ -2,10 +2,10 @@
 
 import passhatch.Balancer.Actions;
 
-/** Takes a module's actions and does nothing but keep the server of the latest send. */
+/** Ignores the actions of a decision module, except that it keeps the server of the latest send. */
 class NoOpActions implements Actions {
 
-    /** Where the latest send went. */
+    /** The id of the server of the latest send; null before the first. */
     String lastServer;
 
     @Override
--- a/lab/src/main/java/passhatch/lab/ObservedReplica.java
+++ b/lab/src/main/java/passhatch/lab/ObservedReplica.java
@@ -13,14 +13,17 @@
 import passhatch.Balancer.Server;
 import passhatch.LeastLoadedBalancer;
 
-/** One instance of the module whose calls are answered by hand, to see by its sends which servers it uses. */
+/**
+ * One replica whose calls are answered by this class, in place of servers. Its sends show which servers it
+ * uses, its subset.
+ */
 final class ObservedReplica extends NoOpActions {
 
-    /** After so long every server is warm and has had its first call. */
+    /** After this time every server is warm and has received its first call. */
     private static final long SETTLING_TIME_US = SampleDeployment.RULES.coldUs() + 60_000_000;
     private static final long SERVICE_TIME_US = 15_000;
     private static final long CALL_INTERVAL_US = 20_000;
-    /** Refused connections in a row that make the module rest a server. */
+    /** Refused connections in a row after which the module ejects a server. */
     private static final int REFUSALS_UNTIL_EJECTION = 2;
 
     private final Balancer module;
@@ -40,12 +43,12 @@
         return module;
     }
 
-    /** Tells of one changed server. */
+    /** Passes a change list with one server to the module. */
     void serverChanged(Server server) {
         module.serversChanged(nowUs, ListKind.CHANGES, List.of(server));
     }
 
-    /** The servers in use once what was told before has settled. */
+    /** Returns the ids of the servers in use after the effects of earlier changes have settled. */
     Set<String> settledSubset() {
         nowUs += SETTLING_TIME_US;
         module.timer(nowUs);
@@ -53,8 +56,9 @@
     }
 
     /**
-     * The servers in use now: calls are kept open until a whole round of them has brought no new server. The
-     * module sends each to a server that holds fewer of them than the others.
+     * Returns the ids of the servers in use now. Opens calls, which stay in flight, until there were more
+     * consecutive calls without a new server than servers seen. As the module sends each call to a server
+     * with fewer calls in flight than the others, these reach every server in use.
      */
     Set<String> currentSubset() {
         Map<String, String> openCalls = new LinkedHashMap<>();
@@ -74,7 +78,7 @@
         return used;
     }
 
-    /** Calls that come evenly, each served before the next: how many of them each server gets. */
+    /** Sends calls at equal intervals, each served before the next, and counts them by server id. */
     Map<String, Integer> sendEvenTraffic(int calls) {
         Map<String, Integer> callsByServer = new HashMap<>();
         for (int i = 0; i < calls; i++) {
@@ -87,7 +91,11 @@
         return callsByServer;
     }
 
-    /** Refuses this server's connections until the module rests it; false where it isn't in use. */
+    /**
+     * Refuses connections to the server until the module ejects it.
+     *
+     * @return false if the replica does not use the server, which is not ejected then
+     */
     boolean eject(String serverId) {
         Map<String, String> openCalls = new LinkedHashMap<>();
         Set<String> retried = new LinkedHashSet<>();
--- a/lab/src/main/java/passhatch/lab/ProgressLog.java
+++ b/lab/src/main/java/passhatch/lab/ProgressLog.java
@@ -1,6 +1,6 @@
 package passhatch.lab;
 
-/** Lines on standard error that tell how far a command has come. */
+/** Prints the progress of a command to standard error, each line with the seconds since its start. */
 final class ProgressLog {
 
     private final long startNs = System.nanoTime();
--- a/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
+++ b/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
@@ -23,24 +23,32 @@
 import passhatch.LeastLoadedBalancer;
 import passhatch.SettingsBuilder;
 
-/** What an event costs the decision module while calls are queued; one comes every 100 us. */
+/** Measures the time that the decision module takes for an event while calls are queued. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class QueuedCallsBenchmark extends NoOpActions {
 
+    /** Simulated time between two events. */
     private static final long EVENT_INTERVAL_US = 100;
     private static final long SERVICE_TIME_US = 200_000;
+    /** A time limit that no call reaches; also the time of the first event. */
     private static final long UNLIMITED_US = 1_000_000_000_000L;
 
+    /** Number of servers. */
     @Param({"8", "300"})
     int servers;
+    /** Number of queued calls. */
     @Param({"1", "100", "1000"})
     int queued;
-    /** All servers are out by hand; else each has one call, as many as it can serve in time. */
+    /**
+     * Whether an operator has disabled all servers; else calls are queued because each server has one call in
+     * flight, as many as it can serve in time.
+     */
     @Param({"true", "false"})
     boolean out;
 
+    /** A call in flight and its server, both by id. */
     private record SentCall(String request, String server) { }
 
     private final ArrayDeque<SentCall> sentCalls = new ArrayDeque<>();
@@ -49,7 +57,7 @@
     private long requestCount;
     private long eventCount;
 
-    /** Has each server take a call, and lets so many more wait. */
+    /** Sends a call to each server, then adds the calls that are queued. */
     @Setup
     public void setUp() {
         nowUs = UNLIMITED_US;
@@ -77,7 +85,8 @@
             addRequest();
         }
         if (sentCalls.size() != servers) {
-            throw new IllegalStateException(sentCalls.size() + " calls were sent to " + servers + " servers");
+            throw new IllegalStateException(sentCalls.size() + " calls in flight, expected one to each of "
+                    + servers + " servers");
         }
     }
 
@@ -90,7 +99,10 @@
         logic.outcome(nowUs, oldest.request(), 0, oldest.server(), Outcome.OK, SERVICE_TIME_US, true, null);
     }
 
-    /** Servers that are out say what they hold; else one ends a call, takes one queued, and a call comes. */
+    /**
+     * Measures one event: the load report of a disabled server; or else the end of a call, whose server then
+     * gets a queued call, together with the arrival of a request.
+     */
     @Benchmark
     public void event() {
         nowUs += EVENT_INTERVAL_US;
@@ -103,7 +115,7 @@
         }
     }
 
-    /** A state as the benchmark has it. */
+    /** Creates a benchmark that is set up with these parameters. */
     static QueuedCallsBenchmark create(int servers, int queued, boolean out) {
         QueuedCallsBenchmark benchmark = new QueuedCallsBenchmark();
         benchmark.servers = servers;
@@ -124,11 +136,11 @@
 
     @Override
     public void refuse(String request, long retryAfterUs) {
-        throw new IllegalStateException(request + " is refused");
+        throw new IllegalStateException(request + " was refused, expected it to be queued");
     }
 
     @Override
     public void fail(String request) {
-        throw new IllegalStateException(request + " fails");
+        throw new IllegalStateException(request + " failed, expected it to be queued");
     }
 }
--- a/lab/src/main/java/passhatch/lab/Results.java
+++ b/lab/src/main/java/passhatch/lab/Results.java
@@ -11,13 +11,16 @@
 import java.util.Locale;
 
 /**
- * A table of figures, with the seed, the machine and the version they were measured with. It is written as
- * NAME.md and NAME.csv after each figure, so that a command that is stopped leaves what it has measured.
+ * A table of measurements, with the seed, the machine and the revision that they were taken with. It is
+ * written to NAME.md and NAME.csv after each measurement, so that a command that is stopped leaves what it
+ * has measured. Thread-safe.
  */
 public final class Results {
 
+    /** One measurement with the values of all runs, in the order of the runs. */
     private record Row(String measurement, String size, String unit, double[] values) {
 
+        /** Returns the quantile of a fraction from 0 to 1, interpolated linearly between two values. */
         double quantile(double fraction) {
             double[] sorted = values.clone();
             Arrays.sort(sorted);
@@ -35,12 +38,12 @@
     private final List<String> notes = new ArrayList<>();
 
     /**
-     * An empty table.
+     * Creates an empty table; no file is written before the first measurement or note.
      *
-     * @param directory made where it is missing
-     * @param name of the table and its two files
-     * @param seed the first run's
-     * @param revision the version measured
+     * @param directory where the files are written; created if it is missing
+     * @param name name of the table and of its two files
+     * @param seed seed of the first run
+     * @param revision revision of the code that is measured
      */
     public Results(Path directory, String name, long seed, String revision) {
         this.directory = directory;
@@ -56,22 +59,29 @@
     }
 
     /**
-     * Adds a figure.
+     * Adds a measurement and writes the table.
      *
      * @param measurement what was measured
-     * @param size at which size, such as "1000 x 300"
-     * @param unit of the values; "" for ratios and counts
+     * @param size the size at which it was measured, such as "1000 x 300"
+     * @param unit unit of the values; "" for ratios and counts
      * @param values the value of each run, at least one
+     * @throws IllegalArgumentException if there is no value
+     * @throws UncheckedIOException if the table can't be written
      */
     public synchronized void add(String measurement, String size, String unit, double... values) {
         if (values.length == 0) {
-            throw new IllegalArgumentException("no run of " + measurement);
+            throw new IllegalArgumentException("no values given for measurement " + measurement);
         }
         rows.add(new Row(measurement, size, unit, values.clone()));
         write();
     }
 
-    /** Adds a sentence below the table: how something was measured, or what was left out. */
+    /**
+     * Adds a sentence below the table, on how something was measured or what was left out, and writes the
+     * table.
+     *
+     * @throws UncheckedIOException if the table can't be written
+     */
     public synchronized void note(String sentence) {
         notes.add(sentence);
         write();
@@ -101,13 +111,16 @@
         }
     }
 
-    /** A command stopped in the middle leaves the file as it was before. */
+    /** Replaces the file in one step: a command that is stopped while it writes leaves the previous file. */
     private void replaceFile(String fileName, CharSequence content) throws IOException {
         Path partialFile = Files.writeString(directory.resolve(fileName + ".part"), content);
         Files.move(partialFile, directory.resolve(fileName), StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Four significant digits, plain: neither exponents nor digits that no run supports. */
+    /**
+     * Formats a value with about four significant digits, at most six decimals and no exponent, as the runs
+     * don't support more digits.
+     */
     private static String format(double value) {
         int decimals = value == 0 || !Double.isFinite(value) ? 0
                 : (int) Math.max(0, 3 - Math.floor(Math.log10(Math.abs(value))));
--- a/lab/src/main/java/passhatch/lab/RetainedHeap.java
+++ b/lab/src/main/java/passhatch/lab/RetainedHeap.java
@@ -7,16 +7,17 @@
 import passhatch.LeastLoadedBalancer;
 
 /**
- * Bytes that an instance keeps for each server, names included: the difference in live heap with and without
- * instances that have taken their first list.
+ * Measures the heap that a decision module retains for each server, names included: the difference in live
+ * heap before and after modules are created and have received their first list.
  */
 final class RetainedHeap {
 
-    /** So many servers over all instances that what else happens in the heap doesn't count. */
+    /** Servers in the lists of all modules together; with fewer, other changes of the heap would matter. */
     private static final int TOTAL_SERVERS = 20_000;
 
     private RetainedHeap() { }
 
+    /** Returns the bytes that a module retains for each of its servers. */
     static double bytesPerServer(int servers, int replicas, long seed) {
         int instances = Math.max(1, TOTAL_SERVERS / servers);
         List<Balancer> modules = new ArrayList<>(instances);
--- a/lab/src/main/java/passhatch/lab/SampleDeployment.java
+++ b/lab/src/main/java/passhatch/lab/SampleDeployment.java
@@ -16,19 +16,27 @@
 import passhatch.SettingsBuilder;
 
 /**
- * The deployment that is measured: settings like those of a site in service (no probes, one call on a
- * connection, 3 attempts) with one class of requests, and lists of servers.
+ * The deployment that is measured: settings like those of a site in production (no probes, one call on a
+ * connection, 3 attempts) with one request class, and lists of servers.
  */
 final class SampleDeployment {
 
     static final int ZONES = 3;
-    /** How long clients wait. Longer than any queue of a calm server, so that time-outs mean trouble. */
+    /**
+     * Deadline of requests. It is longer than a request waits in the queue of a server under normal load, so
+     * that time-outs indicate a fault.
+     */
     static final long DEADLINE_US = 2_000_000;
     static final Rules RULES = new Rules(2_500_000, 0, 0.32, 8_600_000, 3, 3_000_000);
 
     private SampleDeployment() { }
 
-    /** The settings of instance {@code copy}, one of {@code copies} that send to the same servers. */
+    /**
+     * Returns the settings of one replica.
+     *
+     * @param replicas number of replicas that send to the same servers
+     * @param replicaIndex the number of this replica, from 0
+     */
     static Settings settings(int replicas, int replicaIndex) {
         return new SettingsBuilder()
                 .requestClass(new RequestClass(
@@ -40,7 +48,10 @@
                 .build();
     }
 
-    /** Warm servers with names drawn from the seed, their zones in turn. */
+    /**
+     * Returns warm servers with random addresses, assigned to the zones in turn; the same seed gives the
+     * same.
+     */
     static List<Server> servers(int count, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Set<String> names = new LinkedHashSet<>();
@@ -55,12 +66,12 @@
         return List.copyOf(list);
     }
 
-    /** The same server with another status, its process started then. */
+    /** Returns the server with another status and another start time of its process. */
     static Server withStatus(Server server, ServerStatus status, long startedAtUs) {
         return new Server(server.id(), startedAtUs, server.zone(), server.cell(), status);
     }
 
-    /** The list in another order. */
+    /** Returns a shuffled copy of the list; the same seed gives the same order. */
     static List<Server> shuffled(List<Server> list, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Server> result = new ArrayList<>(list);
--- a/lab/src/main/java/passhatch/lab/Scenario.java
+++ b/lab/src/main/java/passhatch/lab/Scenario.java
@@ -2,23 +2,26 @@
 
 import java.util.List;
 
-/** A day in the life of a fleet, and the figures that it gives. */
+/** A sequence of events in a simulated fleet, and the measurements taken from it. */
 interface Scenario {
 
-    /** Until then instances learn what is usual, and nothing is counted. */
+    /**
+     * Second at which the baseline interval starts. Until then the modules build up their estimates, and
+     * nothing is measured.
+     */
     int BASELINE_START_S = 10;
-    /** Until then nothing happens. */
+    /** Second at which the baseline interval ends; the scenario changes nothing before. */
     int BASELINE_END_S = 15;
 
     /**
-     * A figure.
+     * A measurement of one run.
      *
      * @param name what was measured
-     * @param unit "" for ratios and counts
-     * @param value of this run
+     * @param unit unit of the value; "" for ratios and counts
+     * @param value the value of this run
      */
     record Measurement(String name, String unit, double value) { }
 
-    /** Plays it; the same size and seed give the same figures, in the same order. */
+    /** Runs the scenario; the same size and seed give equal measurements, in the same order. */
     List<Measurement> run(FleetSize size, long seed);
 }
--- a/lab/src/main/java/passhatch/lab/ServerChange.java
+++ b/lab/src/main/java/passhatch/lab/ServerChange.java
@@ -4,9 +4,12 @@
 import passhatch.Balancer.Server;
 import passhatch.Balancer.ServerStatus;
 
-/** What happens to one server of a list, and how it ends. */
+/**
+ * A change of one server that a replica is shown, and how it is reverted. The constants name rows of the
+ * table of {@code lab fleet}.
+ */
 enum ServerChange {
-    /** It leaves the list, and comes back as a new process. */
+    /** The server is removed from the list, then added again as a new process. */
     GOES {
         @Override
         Set<String> apply(ObservedReplica replica, Server server) {
@@ -14,7 +17,7 @@
             return replica.settledSubset();
         }
     },
-    /** A server that no list named before joins, and leaves again. */
+    /** A server that was in no list before is added, then removed. */
     COMES {
         @Override
         Set<String> apply(ObservedReplica replica, Server server) {
@@ -27,7 +30,7 @@
             replica.serverChanged(SampleDeployment.withStatus(server, ServerStatus.GONE, 0));
         }
     },
-    /** It drains, and comes back as a new process. */
+    /** The server drains, then returns as a new process. */
     DRAINS {
         @Override
         Set<String> apply(ObservedReplica replica, Server server) {
@@ -35,7 +38,7 @@
             return replica.settledSubset();
         }
     },
-    /** It is taken out by hand, and put back. */
+    /** An operator disables the server, then enables it again. */
     DISABLED {
         @Override
         Set<String> apply(ObservedReplica replica, Server server) {
@@ -46,11 +49,12 @@
         @Override
         void revert(ObservedReplica replica, Server server) {
             replica.module().enable(replica.nowUs(), server.id());
-            // Whoever puts a server back looks for its first call: every copy tries it once.
+            // A replica sends a reenabled server one call, which the operator looks for, whether or not the
+            // server is in its subset. That call is over before the subset is observed.
             replica.settledSubset();
         }
     },
-    /** It refuses connections of those that use it, rests there, and recovers. */
+    /** The server refuses connections until the replicas that use it eject it, then accepts them again. */
     RESTS {
         @Override
         Set<String> apply(ObservedReplica replica, Server server) {
@@ -62,10 +66,14 @@
         void revert(ObservedReplica replica, Server server) { }
     };
 
-    /** Lets it happen, and returns the servers that the instance uses then. */
+    /**
+     * Applies the change.
+     *
+     * @return the ids of the servers that the replica uses afterwards
+     */
     abstract Set<String> apply(ObservedReplica replica, Server server);
 
-    /** Ends it; what follows from that has yet to settle. */
+    /** Reverts the change; the replica settles only with its next {@link ObservedReplica#settledSubset}. */
     void revert(ObservedReplica replica, Server server) {
         replica.serverChanged(SampleDeployment.withStatus(server, ServerStatus.UP, replica.nowUs()));
     }
--- a/lab/src/main/java/passhatch/lab/SimulatedFleet.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedFleet.java
@@ -8,20 +8,21 @@
 import passhatch.Balancer.Server;
 
 /**
- * A fleet in simulated time: instances of the real module, modelled servers, and clients that keep the
- * servers busy to a given part. One thread runs it; a seed gives the same run, event by event.
+ * A fleet in simulated time: replicas with the real decision module, simulated servers, and clients whose
+ * load keeps the servers at {@link #UTILISATION}. It runs in one thread, and the same seed gives the same
+ * events.
  */
 final class SimulatedFleet {
 
-    /** Work of a request on a warm core, on average. */
+    /** Mean time that a request needs on a core of a warm server, in microseconds. */
     static final double MEAN_WORK_US = 100_000;
-    /** Part of the warm servers' time that is in use. */
+    /** Share of the capacity of all servers, when warm, that the clients use. */
     static final double UTILISATION = 0.4;
-    /** A warm server's requests a second at most. */
+    /** Requests per second that a warm server can serve. */
     static final double CAPACITY_PER_S = SimulatedServer.CORES * 1e6 / MEAN_WORK_US;
-    /** Any time long after 0, which stands for servers that have always been there. */
+    /** An arbitrary time long after 0: a server that started at 0 counts as warm. */
     private static final long START_US = 1_000_000_000_000L;
-    /** Within this time a change that discovery tells is in force at all instances. */
+    /** Longest time until a replica has received a change from discovery. */
     private static final long MAX_PROPAGATION_US = 200_000;
 
     private final SimulatedEventLoop loop = new SimulatedEventLoop(START_US);
@@ -58,7 +59,7 @@
         return servers;
     }
 
-    /** Some servers, drawn from the seed. */
+    /** Returns different servers, chosen at random; {@code count} is at most the number of servers. */
     List<SimulatedServer> drawServers(int count) {
         List<SimulatedServer> remaining = new ArrayList<>(servers);
         List<SimulatedServer> drawn = new ArrayList<>();
@@ -68,7 +69,7 @@
         return drawn;
     }
 
-    /** Has discovery tell all instances how these servers are listed now, each a little later. */
+    /** Sends the current list entries of these servers to each replica, after a random propagation delay. */
     void announce(List<SimulatedServer> changed) {
         List<Server> listEntries = changed.stream().map(SimulatedServer::listEntry).toList();
         for (SimulatedProxy proxy : proxies) {
@@ -77,12 +78,12 @@
         }
     }
 
-    /** Runs up to the given second since the start. */
+    /** Runs all events up to the given second since the start. */
     void runUntil(int second) {
         loop.runUntil(START_US + second * 1_000_000L);
     }
 
-    /** Most requests that one server held at a time since this was last asked, for each of its cores. */
+    /** Returns the most requests that one server held at a time since the last call, divided by its cores. */
     double takePeakRequestsPerCore() {
         return servers.stream().mapToInt(SimulatedServer::takePeakHeld).max().orElseThrow()
                 / (double) SimulatedServer.CORES;
--- a/lab/src/main/java/passhatch/lab/SimulatedProxy.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedProxy.java
@@ -14,14 +14,15 @@
 import passhatch.LeastLoadedBalancer;
 
 /**
- * A simulated (in-process) instance: the real module, with simulated time and servers in place of the network
- * code. Its clients come by themselves, as a Poisson process, and try once.
+ * A simulated replica of the proxy: the real decision module, with simulated time and servers in place of the
+ * network code. Requests arrive as a Poisson process, and clients don't retry.
  */
 final class SimulatedProxy implements Actions {
 
-    /** From the proxy to a server, and back. */
+    /** Network delay from the proxy to a server, and the same from the server to the proxy. */
     private static final long ONE_WAY_DELAY_US = 250;
 
+    /** A request of a client; it has ended when it was served or failed, though attempts may be in flight. */
     private static final class Call {
         private final long arrivedUs;
         private final long workUs;
@@ -35,6 +36,7 @@
         }
     }
 
+    /** An attempt at a server; its job is null until it has reached the server. */
     private static final class Attempt {
         private final SimulatedServer server;
         private final long sentUs;
@@ -58,13 +60,12 @@
     private long wakeAtUs = Long.MAX_VALUE;
 
     /**
-     * An instance that knows the list and gets requests from now on.
+     * Creates a replica that has the list of servers and receives requests from now on.
      *
-     * @param meanGapUs between two requests, on average
+     * @param meanGapUs mean time between two requests
      */
     SimulatedProxy(SimulatedFleet fleet, int replicas, int replicaIndex, SplittableRandom random,
-            double meanGapUs,
-            List<Server> serverList) {
+            double meanGapUs, List<Server> serverList) {
         this.loop = fleet.loop();
         this.serversById = fleet.serversById();
         this.statistics = fleet.statistics();
@@ -94,7 +95,7 @@
         module.request(loop.nowUs(), new Request(id, 0, 0, SampleDeployment.DEADLINE_US, 0, false));
     }
 
-    /** Discovery's word on some servers. */
+    /** Receives a change list from discovery. */
     void serversChanged(List<Server> changes) {
         module.serversChanged(loop.nowUs(), ListKind.CHANGES, changes);
     }
@@ -113,7 +114,7 @@
             if (!attempt.ended) {
                 attempt.job = attempt.server.accept(call.workUs,
                         outcome -> loop.schedule(loop.nowUs() + ONE_WAY_DELAY_US,
-                        () -> attemptEnded(request, call, attemptNumber, outcome)));
+                                () -> attemptEnded(request, call, attemptNumber, outcome)));
             }
         });
         loop.schedule(loop.nowUs() + timeoutUs, () -> giveUp(request, call, attemptNumber, Outcome.TIMEOUT));
@@ -186,7 +187,7 @@
 
     @Override
     public void probe(String server) {
-        throw new IllegalStateException("probes are not allowed here");
+        throw new IllegalStateException("the module sent a probe, which the settings do not allow");
     }
 
     @Override
--- a/lab/src/main/java/passhatch/lab/SimulatedServer.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedServer.java
@@ -8,25 +8,32 @@
 import passhatch.Balancer.ServerStatus;
 
 /**
- * A modelled server: some cores and a queue before them, first in, first out. A process that has just started
- * works at a share of its speed, which grows evenly until it is warm.
+ * A simulated server with {@link #CORES} cores and one first-in, first-out queue. A process that has just
+ * started works at a share of its full speed, which grows linearly until the process is warm.
  */
 final class SimulatedServer {
 
     static final int CORES = 2;
-    /** Requests that wait at most; more are turned away. */
+    /** Most requests in the queue; further ones are rejected. */
     private static final int MAX_QUEUED = 200;
-    /** Until a connection is seen to be refused or broken, or an error is answered. */
+    /** Time until the proxy sees a refused or reset connection, an error response or a rejection. */
     private static final long FAST_RESPONSE_US = 500;
 
-    /** How it treats requests. */
+    /**
+     * How the server treats requests: it serves them, refuses connections, accepts requests without ever
+     * responding, or responds with an error at once. The constants name rows of the table of
+     * {@code lab fleet}.
+     */
     enum State {
         WELL, REFUSES, HANGS, ERRS;
 
         static final List<State> FAILURES = List.of(REFUSES, HANGS, ERRS);
     }
 
-    /** One attempt at this server; what becomes of it is told once, unless the server hangs. */
+    /**
+     * One attempt at this server. Its outcome is reported once, or never if it is abandoned or the server
+     * hangs.
+     */
     static final class Job {
         private final long workUs;
         private final Consumer<Outcome> onOutcome;
@@ -51,12 +58,15 @@
         this.listEntry = listEntry;
     }
 
-    /** As discovery would list it. */
+    /** The current entry of this server in the lists of discovery. */
     Server listEntry() {
         return listEntry;
     }
 
-    /** From now on it treats requests so. What it holds is lost where it refuses or hangs. */
+    /**
+     * Changes how the server treats requests. Where it refuses connections, the attempts that it holds end
+     * with {@link Outcome#RESET}; where it hangs, they never end.
+     */
     void setState(State newState) {
         state = newState;
         if (newState == State.REFUSES) {
@@ -69,19 +79,19 @@
         }
     }
 
-    /** Its process ends. */
+    /** Ends the process of the server. */
     void stop() {
         setState(State.REFUSES);
         listEntry = SampleDeployment.withStatus(listEntry, ServerStatus.GONE, listEntry.startedAtUs());
     }
 
-    /** A new process starts, cold. */
+    /** Starts a new process, which is cold. */
     void start() {
         state = State.WELL;
         listEntry = SampleDeployment.withStatus(listEntry, ServerStatus.UP, loop.nowUs());
     }
 
-    /** The share of its speed that it has now. */
+    /** The current speed as a share of the full speed, at most 1. */
     double relativeSpeed() {
         if (listEntry.startedAtUs() == 0) {
             return 1;
@@ -92,13 +102,13 @@
                 * Math.min(1, warmUpProgress);
     }
 
-    /** Counts attempts that reach it from now on, over any window of this length. */
+    /** Starts to count the attempts that reach the server, for windows of this length. */
     SlidingWindowCounter countArrivals(long windowUs) {
         arrivals = new SlidingWindowCounter(windowUs);
         return arrivals;
     }
 
-    /** Most requests that it held at a time since this was last asked. */
+    /** Returns the most requests that the server held at a time since the last call. */
     int takePeakHeld() {
         int peak = peakHeld;
         peakHeld = requestsHeld();
@@ -109,7 +119,12 @@
         return running.size() + queued.size();
     }
 
-    /** Takes an attempt that needs so much work on a warm core. */
+    /**
+     * Receives an attempt.
+     *
+     * @param workUs time that the attempt needs on a core of a warm server
+     * @param onOutcome receives the outcome, see {@link Job}
+     */
     Job accept(long workUs, Consumer<Outcome> onOutcome) {
         Job job = new Job(workUs, onOutcome);
         if (arrivals != null && state != State.REFUSES) {
@@ -132,7 +147,9 @@
         return job;
     }
 
-    /** Nobody waits for the job any more: it leaves the queue, but runs on where it has begun. */
+    /**
+     * Removes a job from the queue and reports no outcome of it; a job that is running keeps its core busy.
+     */
     void abandon(Job job) {
         job.closed = true;
         queued.remove(job);
--- a/lab/src/main/java/passhatch/lab/SlidingWindowCounter.java
+++ b/lab/src/main/java/passhatch/lab/SlidingWindowCounter.java
@@ -3,11 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Events in time, to find the window that holds the most of them against a budget that grows with time. */
+/** Records the times of events and finds the window that has most events in relation to a limit. */
 final class SlidingWindowCounter {
 
-    /** What may come within a window that begins at a time. */
+    /** The limit of the events in a window. */
     interface Budget {
+        /** Returns the number of events allowed from a time to before another, above 0. */
         double allowedEvents(long startUs, long endUs);
     }
 
@@ -18,7 +19,7 @@
         this.windowUs = windowUs;
     }
 
-    /** Notes an event; times never go back. */
+    /** Records an event, which is not earlier than the one before. */
     void add(long atUs) {
         timesUs.add(atUs);
     }
@@ -27,7 +28,10 @@
         return timesUs.size();
     }
 
-    /** The highest ratio of a window's events to its budget; 0 where nothing came. */
+    /**
+     * Returns the greatest ratio of the events in a window to its limit, over the windows that start with an
+     * event; 0 without events.
+     */
     double maxRatio(Budget budget) {
         double maxRatio = 0;
         int endIndex = 0;
--- a/lab/src/main/java/passhatch/lab/SlowStartScenario.java
+++ b/lab/src/main/java/passhatch/lab/SlowStartScenario.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * Some servers restart. What all instances together send to one while it is cold is held against what it can
- * bear in the time after which it would fall over: N by the settings and its warmth then, and 2 x root of N
- * + 2 for chance.
+ * Some servers restart and warm up. A cold server fails when, for {@code overloadForUs}, it receives more
+ * than {@code tipMultiple} times the calls that it can serve at its speed at that time. Within each window of
+ * that length the calls from all replicas together are compared with this limit N, plus 2 * sqrt(N) + 2 calls
+ * for random variation of the arrivals.
  */
 final class SlowStartScenario implements Scenario {
 
@@ -32,8 +33,8 @@
         double fairShareCalls = SimulatedFleet.CAPACITY_PER_S * SimulatedFleet.UTILISATION
                 * (WARM_AT_S - RESTARTED_AT_S);
         double worstWindowRatio = counters.stream()
-                .mapToDouble(c -> c.maxRatio((fromUs, toUs) ->
-                allowedCalls(fromUs - startUs, toUs - startUs)))
+                .mapToDouble(c -> c.maxRatio(
+                        (fromUs, toUs) -> allowedCalls(fromUs - startUs, toUs - startUs)))
                 .max().orElseThrow();
         double fairShareRatio = counters.stream().mapToInt(SlidingWindowCounter::count).average()
                 .orElseThrow() / fairShareCalls;
@@ -42,14 +43,17 @@
                 new Measurement("cold server: calls while cold / fair share", "", fairShareRatio));
     }
 
-    /** Requests that a server may get between two times since its start, chance included. */
+    /** Calls that a server may receive between two ages of its process, random variation included. */
     private static double allowedCalls(long fromUs, long toUs) {
         double expectedCalls = SampleDeployment.RULES.tipMultiple() * SimulatedFleet.CAPACITY_PER_S
                 * (warmEquivalentSeconds(toUs) - warmEquivalentSeconds(fromUs));
         return expectedCalls + 2 * Math.sqrt(expectedCalls) + 2;
     }
 
-    /** The warmth summed up since the start: seconds of a warm server's work. */
+    /**
+     * Work that a server can do from its start to the given age, in seconds of a warm server's work: its
+     * relative speed, which grows linearly while it is cold, integrated over time.
+     */
     private static double warmEquivalentSeconds(long ageUs) {
         double initialSpeed = SampleDeployment.RULES.coldFrom();
         double coldElapsedS = Math.min(ageUs, SampleDeployment.RULES.coldUs()) / 1e6;
--- a/lab/src/main/java/passhatch/lab/SoakCommand.java
+++ b/lab/src/main/java/passhatch/lab/SoakCommand.java
@@ -11,47 +11,49 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays random faults against real processes and holds what was seen against the protocol's rules. */
+/** Injects random faults into real proxy processes and checks the calls against the rules of the protocol. */
 @Command(name = "soak", mixinStandardHelpOptions = true,
-        description = "Real proxies under faults that overlap in time; ends with 1 where a rule broke.")
+        description = "Runs real proxies under overlapping faults; exit code 1 after a violation of a rule.")
 final class SoakCommand implements Callable<Integer> {
 
     private static final int MAX_VIOLATIONS_SHOWN = 10;
 
     @Option(names = "--root", defaultValue = ".", paramLabel = "DIR",
-            description = "folder of the project, with the service built (default: ${DEFAULT-VALUE})")
+            description = "directory of the project, with the service built (default: ${DEFAULT-VALUE})")
     private Path root;
 
     @Option(names = "--logs", defaultValue = "lab/target/soak", paramLabel = "DIR",
-            description = "where configurations and logs go (default: ${DEFAULT-VALUE})")
+            description = "directory for configurations and logs (default: ${DEFAULT-VALUE})")
     private Path logDirectory;
 
-    @Option(names = "--seed", defaultValue = "1", description = "the first seed (default: ${DEFAULT-VALUE})")
+    @Option(names = "--seed", defaultValue = "1",
+            description = "seed of the first run (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(names = "--runs", defaultValue = "1",
-            description = "runs, each with the next seed (default: ${DEFAULT-VALUE})")
+            description = "number of runs, each with the next seed (default: ${DEFAULT-VALUE})")
     private int runs;
 
     @Option(names = "--proxies", defaultValue = "10",
-            description = "real processes, 10 to 40 (default: ${DEFAULT-VALUE})")
+            description = "number of proxy processes, 10 to 40 (default: ${DEFAULT-VALUE})")
     private int proxies;
 
     @Option(names = "--backends", defaultValue = "10", description = "default: ${DEFAULT-VALUE}")
     private int backends;
 
-    @Option(names = "--seconds", defaultValue = "30", description = "of each run (default: ${DEFAULT-VALUE})")
+    @Option(names = "--seconds", defaultValue = "30",
+            description = "length of a run, in seconds (default: ${DEFAULT-VALUE})")
     private int runSeconds;
 
     @Option(names = "--faults", defaultValue = "1.0", paramLabel = "N",
-            description = "faults that begin in a second, on average (default: ${DEFAULT-VALUE})")
+            description = "mean number of faults that begin per second (default: ${DEFAULT-VALUE})")
     private double faultsPerSecond;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         int failedRuns = 0;
         for (long runSeed = seed; runSeed < seed + runs; runSeed++) {
-            // Every other seed has its lists pushed.
+            // Runs with an even seed have to ask discovery for changes; in the others it pushes them.
             Size size = new Size(proxies, backends, Duration.ofSeconds(runSeconds), faultsPerSecond,
                     runSeed % 2 == 0, new CallCosts(Duration.ofMillis(20), Duration.ZERO,
                     Duration.ofSeconds(3),
--- a/lab/src/main/java/passhatch/lab/TrafficStatistics.java
+++ b/lab/src/main/java/passhatch/lab/TrafficStatistics.java
@@ -4,21 +4,25 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** What the clients of a fleet saw, second by second of simulated time. */
+/** Requests and attempts of a simulated fleet, counted for each second of simulated time. */
 final class TrafficStatistics {
 
-    /** One second: the requests that came in it, how they ended, and the further attempts sent in it. */
+    /**
+     * Statistics of an interval of one second, or of several: the requests that arrived in it, their results,
+     * and the extra attempts sent in it.
+     */
     static final class Interval {
         private final Histogram latenciesUs = new Histogram(3_600_000_000L, 2);
         private long requestCount;
         private long extraAttemptCount;
         private long unservedCount;
 
-        /** Retries and hedged requests sent in this second, for each request that came in it. */
+        /** Retries and hedged attempts sent in this interval, divided by the requests that arrived in it. */
         double extraAttempts() {
             return requestCount == 0 ? 0 : (double) extraAttemptCount / requestCount;
         }
 
+        /** Share, 0 to 1, of the requests that arrived in this interval and were not served. */
         double unservedShare() {
             return requestCount == 0 ? 0 : (double) unservedCount / requestCount;
         }
@@ -51,7 +55,7 @@
         intervalAt(atUs).requestCount++;
     }
 
-    /** A retry or a hedged request. */
+    /** Counts a retry or a hedged attempt. */
     void extraAttemptSent(long atUs) {
         intervalAt(atUs).extraAttemptCount++;
     }
@@ -64,13 +68,13 @@
         intervalAt(arrivedUs).unservedCount++;
     }
 
-    /** The seconds from one to before another, counted from the start. */
+    /** Returns the intervals of the seconds from {@code fromS} to before {@code toS} since the start. */
     List<Interval> between(int fromS, int toS) {
         intervalAt(startUs + toS * 1_000_000L);
         return List.copyOf(intervals.subList(fromS, toS));
     }
 
-    /** All of these seconds as one. */
+    /** Returns the statistics of all these intervals together. */
     static Interval sum(List<Interval> intervals) {
         Interval total = new Interval();
         for (Interval interval : intervals) {
--- a/lab/src/main/java/passhatch/lab/ZoneLossScenario.java
+++ b/lab/src/main/java/passhatch/lab/ZoneLossScenario.java
@@ -5,9 +5,10 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * A zone's servers, a third of all, die at once; discovery tells a second later. They come back together,
- * cold. The fleet is calm in a second whose mean time and share of unserved requests are within a tenth of
- * those before, and calm again with the first of three such seconds in a row.
+ * All servers of a zone, a third of the fleet, stop at once, and discovery reports it one second later. Later
+ * they all restart at once and are cold. A second is calm if its mean latency and its share of unserved
+ * requests are at most a tenth above those of the baseline; the fleet is calm again from the first of three
+ * calm seconds in a row.
  */
 final class ZoneLossScenario implements Scenario {
 
@@ -15,8 +16,9 @@
     private static final int RESTARTED_AT_S = BASELINE_END_S + 15;
     private static final int END_S = RESTARTED_AT_S + 30;
     private static final int CALM_SECONDS_REQUIRED = 3;
+    /** Factor to the baseline up to which a second is calm. */
     private static final double CALM_TOLERANCE = 1.1;
-    /** Unserved requests that count as none. */
+    /** Share of unserved requests, added to the baseline, that is ignored. */
     private static final double NEGLIGIBLE_UNSERVED_SHARE = 0.001;
 
     @Override
@@ -67,9 +69,9 @@
         return intervals.stream().mapToDouble(TrafficStatistics.Interval::unservedShare).max().orElseThrow();
     }
 
+    /** Returns the greatest latency of the intervals divided by that of the baseline. */
     private static double worstToBaseline(List<TrafficStatistics.Interval> intervals,
-            TrafficStatistics.Interval baseline,
-            ToDoubleFunction<TrafficStatistics.Interval> latency) {
+            TrafficStatistics.Interval baseline, ToDoubleFunction<TrafficStatistics.Interval> latency) {
         return intervals.stream().mapToDouble(latency).max().orElseThrow() / latency.applyAsDouble(baseline);
     }
 
@@ -83,7 +85,10 @@
         return interval.meanLatencyUs() <= CALM_TOLERANCE * baseline.meanLatencyUs();
     }
 
-    /** Seconds until the first of three calm ones in a row; infinite where there are none. */
+    /**
+     * Returns the seconds from the start of the intervals to the first of {@link #CALM_SECONDS_REQUIRED} calm
+     * ones in a row; infinite if there are none.
+     */
     private static double secondsUntilCalm(List<TrafficStatistics.Interval> intervals,
             Predicate<TrafficStatistics.Interval> isCalm) {
         int calmInRow = 0;
--- a/lab/src/main/java/passhatch/proxy/ObservedBalancer.java
+++ b/lab/src/main/java/passhatch/proxy/ObservedBalancer.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import passhatch.Balancer;
 
-/** A decision module that passes all on to another and tells an observer of each list when it is taken in. */
+/**
+ * A decision module that delegates to another and notifies an observer of each list that has been applied.
+ */
 final class ObservedBalancer implements Balancer {
 
     private final Balancer balancer;
--- a/lab/src/main/java/passhatch/proxy/WatchingProxy.java
+++ b/lab/src/main/java/passhatch/proxy/WatchingProxy.java
@@ -10,30 +10,38 @@
 import passhatch.LeastLoadedBalancer;
 
 /**
- * The control path of one proxy, in this process: its real loop, discovery client and decision module, with
- * no listener and so no requests. It lies in this package as the service keeps these classes to itself.
+ * The control path of one proxy, within this process: the real proxy loop, discovery client and decision
+ * module, without a listener and therefore without requests. It is in this package because the classes of the
+ * service that it uses are package-private.
  */
 public final class WatchingProxy {
 
     private static final long CONNECT_TIMEOUT_US = 250_000;
-    /** Backend connections that it may hold; it opens none. */
+    /** Limit of the connections to backends; none is opened without requests. */
     private static final int MAX_BACKEND_CONNECTIONS = 1;
 
     private final ProxyLoop proxy;
 
-    /** Hears of each list that the module has taken in. */
+    /** Is notified of each list that the module has applied. */
     public interface Observer {
-        /** The module has been told; that, and all it does on it, is over. */
+        /**
+         * Called in the event loop of the proxy when the module has applied a list, all its actions included.
+         */
         void listApplied(Balancer.ListKind kind, List<Balancer.Server> servers);
     }
 
     /**
-     * Starts one, which fetches the list and then watches. To be called in its event loop, as all that
-     * happens to it afterwards happens there.
+     * Starts a proxy, which fetches the list of servers and then watches it. Must be called in the event
+     * loop, which afterwards runs all of its work.
      *
+     * @param loop event loop of the proxy
+     * @param discovery address of discovery
+     * @param seed seed of the decision module
+     * @param settings settings of the decision module
      * @param zones names of the zones, by position, as discovery writes them
-     * @param machineTypes names of the machine kinds, by position
-     * @param log takes the lines of the event log
+     * @param machineTypes names of the machine types, by position
+     * @param observer is notified of each list that the module has applied
+     * @param log receives the lines of the event log
      */
     public WatchingProxy(EventLoop loop, InetSocketAddress discovery, long seed, Settings settings,
             List<String> zones, List<String> machineTypes, Observer observer, PrintStream log) {
@@ -50,7 +58,7 @@
                 new ObservedBalancer(new LeastLoadedBalancer(moduleSettings, moduleSeed, actions), observer));
     }
 
-    /** Closes its watch and opens none again. To be called in its event loop. */
+    /** Closes the watch for good. Must be called in the event loop of the proxy. */
     public void stop() {
         proxy.stop();
     }
--- a/lab/src/test/java/passhatch/lab/FleetSubsetsTest.java
+++ b/lab/src/test/java/passhatch/lab/FleetSubsetsTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The short form of what {@code lab fleet} tells of pairings, against the bars of the plan. */
+/**
+ * Checks the pairings of replicas and servers that {@code lab fleet} measures, at small sizes, against the
+ * limits that the fleet has to keep.
+ */
 class FleetSubsetsTest {
 
     private static final double MAX_NEW_PAIRINGS_PER_USER = 2;
--- a/lab/src/test/java/passhatch/lab/LabTest.java
+++ b/lab/src/test/java/passhatch/lab/LabTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The command line, the table it writes, and the clock of the simulated fleet. */
+/** Tests sizes on the command line, the tables, the simulated event loop and the sliding-window counter. */
 class LabTest {
 
     @TempDir
--- a/lab/src/test/java/passhatch/lab/QueuedCallsTest.java
+++ b/lab/src/test/java/passhatch/lab/QueuedCallsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** An event costs about the same however many calls are queued, in processor time. */
+/** Guards against processor time for an event that grows with the number of queued calls. */
 class QueuedCallsTest {
 
     private static final int SAMPLES = 60;
@@ -27,7 +27,8 @@
             manyNs[i % SAMPLES] = cpuTimeOfEventsNs(many);
         }
         assertEquals(servers, many.inFlight());
-        assertTrue(median(manyNs) <= 20 * median(fewNs), median(fewNs) + " and " + median(manyNs) + " ns");
+        assertTrue(median(manyNs) <= 20 * median(fewNs), median(fewNs)
+                + " ns for 100 events with 10 queued calls, with 1000: " + median(manyNs) + " ns");
     }
 
     private static long cpuTimeOfEventsNs(QueuedCallsBenchmark benchmark) {
--- a/lab/src/test/java/passhatch/lab/ScenarioTest.java
+++ b/lab/src/test/java/passhatch/lab/ScenarioTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import passhatch.lab.Scenario.Measurement;
 
-/** The short form of what {@code lab fleet} tells of traffic. */
+/** Checks the traffic scenarios that {@code lab fleet} runs, at a small size. */
 class ScenarioTest {
 
     private static final FleetSize SIZE = new FleetSize(50, 30);
