--- a/lab/src/main/c/fault_shim.c
+++ b/lab/src/main/c/fault_shim.c
@@ -27,8 +27,8 @@
     int32_t socket_errno;
 };
 
-static volatile struct faults none;
-static volatile struct faults *active = &none;
+static volatile struct faults no_faults;
+static volatile struct faults *active_faults = &no_faults;
 
 __attribute__((constructor)) static void map_faults(void)
 {
@@ -40,20 +40,20 @@
     void *mapped = mmap(NULL, sizeof(struct faults), PROT_READ, MAP_SHARED, fd, 0);
     close(fd);
     if (mapped != MAP_FAILED) {
-        active = mapped;
+        active_faults = mapped;
     }
 }
 
-static int strikes(int32_t permille)
+static int should_fail(int32_t permille)
 {
-    static __thread uint32_t state;
-    if (state == 0) {
-        state = (uint32_t)(uintptr_t)&state | 1;
+    static __thread uint32_t random_state;
+    if (random_state == 0) {
+        random_state = (uint32_t)(uintptr_t)&random_state | 1;
     }
-    state ^= state << 13;
-    state ^= state >> 17;
-    state ^= state << 5;
-    return (int32_t)(state % 1000) < permille;
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 17;
+    random_state ^= random_state << 5;
+    return (int32_t)(random_state % 1000) < permille;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now)
@@ -64,7 +64,7 @@
     }
     int result = real(clock, now);
     if (result == 0 && clock == CLOCK_REALTIME) {
-        int64_t ns = now->tv_sec * NANOS_PER_SECOND + now->tv_nsec + active->clock_step_ns;
+        int64_t ns = now->tv_sec * NANOS_PER_SECOND + now->tv_nsec + active_faults->clock_step_ns;
         now->tv_sec = ns / NANOS_PER_SECOND;
         now->tv_nsec = ns % NANOS_PER_SECOND;
     }
@@ -97,8 +97,8 @@
     if (!real) {
         real = (int (*)(int, struct sockaddr *, socklen_t *, int))dlsym(RTLD_NEXT, "accept4");
     }
-    if (strikes(active->accept_permille)) {
-        errno = active->accept_errno;
+    if (should_fail(active_faults->accept_permille)) {
+        errno = active_faults->accept_errno;
         return -1;
     }
     return real(fd, address, length, flags);
@@ -115,8 +115,8 @@
     if (!real) {
         real = (int (*)(int, int, int))dlsym(RTLD_NEXT, "socket");
     }
-    if (strikes(active->socket_permille)) {
-        errno = active->socket_errno;
+    if (should_fail(active_faults->socket_permille)) {
+        errno = active_faults->socket_errno;
         return -1;
     }
     return real(domain, type, protocol);
@@ -128,8 +128,8 @@
     if (!real) {
         real = (int (*)(int, const struct sockaddr *, socklen_t))dlsym(RTLD_NEXT, "connect");
     }
-    if (strikes(active->connect_permille)) {
-        errno = active->connect_errno;
+    if (should_fail(active_faults->connect_permille)) {
+        errno = active_faults->connect_errno;
         return -1;
     }
     return real(fd, address, length);
--- a/lab/src/main/java/passhatch/lab/ControlCommand.java
+++ b/lab/src/main/java/passhatch/lab/ControlCommand.java
@@ -6,8 +6,8 @@
 import java.time.temporal.ChronoUnit;
 import java.util.List;
 import java.util.concurrent.Callable;
-import passhatch.lab.control.ControlTrial;
-import passhatch.lab.control.WatchSize;
+import passhatch.lab.control.ControlPathBenchmark;
+import passhatch.lab.control.ControlPathSize;
 import passhatch.lab.discovery.CallCosts;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ITypeConverter;
@@ -30,7 +30,7 @@
             defaultValue = "2000x30,500x300,2000x300,100x3000,4x19000",
             description = "sizes, smaller lists first; a size followed by one with the same list is measured "
                     + "only for the slope between both (default: ${DEFAULT-VALUE})")
-    private List<WatchSize> sizes;
+    private List<ControlPathSize> sizes;
 
     @Option(names = "--burst", defaultValue = "50", paramLabel = "N",
             description = "number of backends that change at once (default: ${DEFAULT-VALUE})")
@@ -53,10 +53,10 @@
     private boolean listsPushed;
 
     /** Reads a size; the command line then names the option whose value is invalid. */
-    private static final class SizeConverter implements ITypeConverter<WatchSize> {
+    private static final class SizeConverter implements ITypeConverter<ControlPathSize> {
         @Override
-        public WatchSize convert(String text) {
-            return WatchSize.of(text);
+        public ControlPathSize convert(String text) {
+            return ControlPathSize.parse(text);
         }
     }
 
@@ -82,8 +82,9 @@
                 + "no history of changes.");
         CallCosts costs = new CallCosts(Duration.of(callCostUs, ChronoUnit.MICROS),
                 Duration.of(lineCostUs, ChronoUnit.MICROS), MAX_CALL_WAIT, MAX_QUEUED_CALLS);
-        ControlTrial.Plan plan = new ControlTrial.Plan(runOptions.runs, burstSize, costs, eventLoops,
+        ControlPathBenchmark.Plan plan =
+                new ControlPathBenchmark.Plan(runOptions.runs, burstSize, costs, eventLoops,
                 listsPushed, runOptions.seed);
-        new ControlTrial(plan, results, progress::print).run(sizes);
+        new ControlPathBenchmark(plan, results, progress::print).run(sizes);
     }
 }
--- a/lab/src/main/java/passhatch/lab/LatencyCommand.java
+++ b/lab/src/main/java/passhatch/lab/LatencyCommand.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.concurrent.Callable;
-import passhatch.lab.latency.LatencyTrial;
+import passhatch.lab.latency.LatencyBenchmark;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
@@ -35,7 +35,7 @@
     @Override
     public void measure(RunOptions runOptions, Results results, ProgressLog progress)
             throws IOException, InterruptedException {
-        try (LatencyTrial trial = new LatencyTrial(root, results, progress::print)) {
+        try (LatencyBenchmark trial = new LatencyBenchmark(root, results, progress::print)) {
             trial.run(runOptions.runs, Duration.ofSeconds(runSeconds));
         }
     }
--- a/lab/src/main/java/passhatch/lab/SoakCommand.java
+++ b/lab/src/main/java/passhatch/lab/SoakCommand.java
@@ -71,7 +71,7 @@
     private Report runOnce(long runSeed, Size size) throws IOException, InterruptedException {
         try (SoakRun run = new SoakRun(root, logDirectory.resolve("seed-" + runSeed), runSeed, size)) {
             run.start();
-            return run.play();
+            return run.execute();
         }
     }
 }
--- a/lab/src/main/java/passhatch/lab/control/BackendList.java
+++ b/lab/src/main/java/passhatch/lab/control/BackendList.java
@@ -15,8 +15,8 @@
     /** The zones planned for. */
     static final List<String> ZONES = IntStream.range(0, 24).mapToObj(i -> String.format("zone-%02d", i))
             .toList();
-    static final List<String> MODELS = List.of("m1", "m2");
-    private static final int IN_A_CELL = 8;
+    static final List<String> MACHINE_TYPES = List.of("m1", "m2");
+    private static final int BACKENDS_PER_CELL = 8;
     private static final int PORT = 5000;
 
     private final List<Endpoint> endpoints = new ArrayList<>();
@@ -25,7 +25,8 @@
         for (int i = 0; i < size; i++) {
             endpoints.add(Endpoint.serving(String.format("s-%08x", i * 0x9E3779B1),
                     "127." + (1 + (i >> 16)) + "." + (i >> 8 & 255) + "." + (i & 255) + ":" + PORT,
-                    ZONES.get(i % ZONES.size()), MODELS.get(i % MODELS.size()), i / IN_A_CELL));
+                    ZONES.get(i % ZONES.size()), MACHINE_TYPES.get(i % MACHINE_TYPES.size()),
+                    i / BACKENDS_PER_CELL));
         }
     }
 
@@ -38,19 +39,20 @@
     }
 
     /** Turns so many backends, from a place on, from serving to draining or back, and returns them so. */
-    List<Endpoint> turn(int from, int count) {
-        List<Endpoint> turned = new ArrayList<>();
+    List<Endpoint> toggleStatuses(int from, int count) {
+        List<Endpoint> changed = new ArrayList<>();
         for (int i = from; i < from + count; i++) {
-            int at = i % endpoints.size();
-            Endpoint now = endpoints.get(at);
-            endpoints.set(at, now.with(now.status() == Status.SERVING ? Status.DRAINING : Status.SERVING));
-            turned.add(endpoints.get(at));
+            int index = i % endpoints.size();
+            Endpoint current = endpoints.get(index);
+            endpoints.set(index, current.withStatus(current.status() == Status.SERVING ? Status.DRAINING
+                    : Status.SERVING));
+            changed.add(endpoints.get(index));
         }
-        return turned;
+        return changed;
     }
 
     /** What modules are told of these. */
-    static Map<String, ServerStatus> told(List<Endpoint> endpoints) {
+    static Map<String, ServerStatus> toServerStatuses(List<Endpoint> endpoints) {
         return endpoints.stream().collect(Collectors.toMap(Endpoint::name,
                 e -> e.status() == Status.SERVING ? ServerStatus.UP : ServerStatus.DRAINING));
     }
--- a/lab/src/main/java/passhatch/lab/control/WatchSize.java
+++ b/lab/src/main/java/passhatch/lab/control/ControlPathSize.java
@@ -6,15 +6,15 @@
  * @param watches proxies, each with one watch
  * @param lines backends in the list
  */
-public record WatchSize(int watches, int lines) {
+public record ControlPathSize(int watches, int lines) {
 
     /** Reads a text like 2000x300. */
-    public static WatchSize of(String text) {
+    public static ControlPathSize parse(String text) {
         String[] parts = text.split("x");
         if (parts.length != 2) {
             throw new IllegalArgumentException("'" + text + "' is not WATCHESxLINES");
         }
-        WatchSize size = new WatchSize(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]));
+        ControlPathSize size = new ControlPathSize(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]));
         if (size.watches < 1 || size.lines < 1) {
             throw new IllegalArgumentException("'" + text + "' must be above 0");
         }
--- a/lab/src/main/java/passhatch/lab/control/ProcessorTime.java
+++ b/lab/src/main/java/passhatch/lab/control/EventLoopCpuTime.java
@@ -7,20 +7,20 @@
 import java.util.List;
 
 /** Processor time of the threads of some event loops. */
-final class ProcessorTime {
+final class EventLoopCpuTime {
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private final List<Long> threads = new ArrayList<>();
+    private final List<Long> threadIds = new ArrayList<>();
 
-    ProcessorTime(Iterable<? extends EventExecutor> loops) {
+    EventLoopCpuTime(Iterable<? extends EventExecutor> loops) {
         for (EventExecutor loop : loops) {
-            threads.add(loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow());
+            threadIds.add(loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow());
         }
     }
 
     /** In all so far, nanoseconds. */
-    long ns() {
-        return threads.stream().mapToLong(THREADS::getThreadCpuTime).sum();
+    long totalNs() {
+        return threadIds.stream().mapToLong(THREADS::getThreadCpuTime).sum();
     }
 }
--- a/lab/src/main/java/passhatch/lab/control/LiveHeap.java
+++ b/lab/src/main/java/passhatch/lab/control/LiveHeap.java
@@ -7,14 +7,14 @@
 /** What is alive in this process's heap. */
 final class LiveHeap {
 
-    private static final long PAUSE_MS = 500;
-    private static final int MOST_PAUSES = 20;
-    private static final double SETTLED = 0.99;
+    private static final long RETRY_INTERVAL_MS = 500;
+    private static final int MAX_ATTEMPTS = 20;
+    private static final double STABLE_RATIO = 0.99;
 
     private LiveHeap() { }
 
     /** Bytes, after a full collection. */
-    static long bytes() {
+    static long usedBytes() {
         System.gc();
         Runtime runtime = Runtime.getRuntime();
         return runtime.totalMemory() - runtime.freeMemory();
@@ -24,16 +24,17 @@
      * The same once what was closed before is no longer held, and no more is let go of: event loops that were
      * told to end do so some time later.
      */
-    static long bytesWithout(List<WeakReference<?>> closed) throws InterruptedException {
-        long before = bytes();
-        for (int i = 0; i < MOST_PAUSES; i++) {
-            TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
-            long now = bytes();
-            if (now > before * SETTLED && closed.stream().allMatch(c -> c.get() == null)) {
-                return now;
+    static long usedBytesWithout(List<WeakReference<?>> closed) throws InterruptedException {
+        long previousBytes = usedBytes();
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
+            TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MS);
+            long currentBytes = usedBytes();
+            if (currentBytes > previousBytes * STABLE_RATIO
+                    && closed.stream().allMatch(c -> c.get() == null)) {
+                return currentBytes;
             }
-            before = now;
+            previousBytes = currentBytes;
         }
-        return before;
+        return previousBytes;
     }
 }
--- a/lab/src/main/java/passhatch/lab/control/RateWindow.java
+++ b/lab/src/main/java/passhatch/lab/control/PeakRate.java
@@ -4,23 +4,23 @@
 import java.util.concurrent.TimeUnit;
 
 /** The highest rate of events over a sliding tenth of a second. */
-final class RateWindow {
+final class PeakRate {
 
     private static final long WINDOW_NS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    private final ArrayDeque<Long> recent = new ArrayDeque<>();
-    private int most;
+    private final ArrayDeque<Long> recentNs = new ArrayDeque<>();
+    private int maxEvents;
 
     /** An event, at a time that is not before that of the last one. */
     void add(long atNs) {
-        recent.add(atNs);
-        while (recent.peek() <= atNs - WINDOW_NS) {
-            recent.poll();
+        recentNs.add(atNs);
+        while (recentNs.peek() <= atNs - WINDOW_NS) {
+            recentNs.poll();
         }
-        most = Math.max(most, recent.size());
+        maxEvents = Math.max(maxEvents, recentNs.size());
     }
 
     double peakPerSecond() {
-        return most * (double) TimeUnit.SECONDS.toNanos(1) / WINDOW_NS;
+        return maxEvents * (double) TimeUnit.SECONDS.toNanos(1) / WINDOW_NS;
     }
 }
--- a/lab/src/main/java/passhatch/lab/control/Propagation.java
+++ b/lab/src/main/java/passhatch/lab/control/Propagation.java
@@ -17,10 +17,10 @@
 
     private final Map<String, ServerStatus> expected;
     /** By proxy, what it has still to hear; each is touched by its proxy's event loop alone. */
-    private final List<Set<String>> missing = new ArrayList<>();
-    private final CountDownLatch unfinished;
+    private final List<Set<String>> pendingByProxy = new ArrayList<>();
+    private final CountDownLatch unfinishedLatch;
     private final long startNs = System.nanoTime();
-    private final AtomicLong lastNs = new AtomicLong(startNs);
+    private final AtomicLong lastCompletedNs = new AtomicLong(startNs);
 
     /**
      * Counts from now on.
@@ -29,41 +29,41 @@
      */
     Propagation(Map<String, ServerStatus> expected, int proxies) {
         this.expected = Map.copyOf(expected);
-        this.unfinished = new CountDownLatch(proxies);
+        this.unfinishedLatch = new CountDownLatch(proxies);
         for (int i = 0; i < proxies; i++) {
-            missing.add(new HashSet<>(expected.keySet()));
+            pendingByProxy.add(new HashSet<>(expected.keySet()));
         }
     }
 
     /** A proxy's module has taken in a list, or changes. */
-    void inForce(int proxy, List<Server> servers) {
-        Set<String> left = missing.get(proxy);
-        if (left.isEmpty()) {
+    void listApplied(int proxy, List<Server> servers) {
+        Set<String> pending = pendingByProxy.get(proxy);
+        if (pending.isEmpty()) {
             return;
         }
         for (Server server : servers) {
             if (server.status() == expected.get(server.id())) {
-                left.remove(server.id());
+                pending.remove(server.id());
             }
         }
-        if (left.isEmpty()) {
-            lastNs.accumulateAndGet(System.nanoTime(), Math::max);
-            unfinished.countDown();
+        if (pending.isEmpty()) {
+            lastCompletedNs.accumulateAndGet(System.nanoTime(), Math::max);
+            unfinishedLatch.countDown();
         }
     }
 
     /** Waits until all is in force everywhere; false where that took too long. */
-    boolean await(Duration most) throws InterruptedException {
-        return unfinished.await(most.toMillis(), TimeUnit.MILLISECONDS);
+    boolean await(Duration timeout) throws InterruptedException {
+        return unfinishedLatch.await(timeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Proxies at which something is not in force. */
-    long unfinished() {
-        return unfinished.getCount();
+    long unfinishedProxies() {
+        return unfinishedLatch.getCount();
     }
 
     /** From the beginning until all was in force at the last proxy that has it. */
-    Duration untilLast() {
-        return Duration.ofNanos(lastNs.get() - startNs);
+    Duration timeUntilLast() {
+        return Duration.ofNanos(lastCompletedNs.get() - startNs);
     }
 }
--- a/lab/src/main/java/passhatch/lab/control/ProxyFleet.java
+++ b/lab/src/main/java/passhatch/lab/control/ProxyFleet.java
@@ -23,91 +23,95 @@
 /** Simulated proxies that watch one discovery, many to an event loop. */
 final class ProxyFleet implements Closeable {
 
-    private static final long AIM_US = 400_000;
+    private static final long LATENCY_GOAL_US = 400_000;
     private static final long DEADLINE_US = 1_000_000;
     /** The rules of a site in service; a proxy that has to ask discovery may go without for 10 s. */
-    private static final long ASK_WITHIN_US = 10_000_000;
+    private static final long MAX_CALL_INTERVAL_US = 10_000_000;
     private static final long DRAIN_GRACE_US = 2_500_000;
-    private static final double COLD_FROM = 0.32;
-    private static final long COLD_US = 8_600_000;
+    private static final double SLOW_START_INITIAL_SHARE = 0.32;
+    private static final long SLOW_START_US = 8_600_000;
     private static final double TIP_MULTIPLE = 3;
-    private static final long OVERLOAD_US = 3_000_000;
+    private static final long OVERLOAD_DURATION_US = 3_000_000;
 
     private static final PrintStream NO_LOG = new PrintStream(OutputStream.nullOutputStream());
 
     private final MultiThreadIoEventLoopGroup group;
     private final InetSocketAddress discovery;
     private final BackendList backends;
-    private final boolean pushed;
+    private final boolean discoveryPushes;
     private final long seed;
     private volatile Propagation propagation;
-    private int proxies;
+    private int startedProxies;
 
     /**
      * No proxy yet.
      *
-     * @param pushed whether discovery counts as one that pushes: then the client repeats its calls by itself,
+     * @param discoveryPushes whether discovery counts as one that pushes: then the client repeats its calls
+     * by itself,
      *     else the module says when
      * @param seed of the first proxy
      */
-    ProxyFleet(int loops, InetSocketAddress discovery, BackendList backends, boolean pushed, long seed) {
-        this.group = new MultiThreadIoEventLoopGroup(loops, new DefaultThreadFactory("proxies", true),
+    ProxyFleet(int eventLoops, InetSocketAddress discovery, BackendList backends, boolean discoveryPushes,
+            long seed) {
+        this.group = new MultiThreadIoEventLoopGroup(eventLoops, new DefaultThreadFactory("proxies", true),
                 NioIoHandler.newFactory());
         this.discovery = discovery;
         this.backends = backends;
-        this.pushed = pushed;
+        this.discoveryPushes = discoveryPushes;
         this.seed = seed;
     }
 
-    ProcessorTime processorTime() {
-        return new ProcessorTime(group);
+    EventLoopCpuTime cpuTime() {
+        return new EventLoopCpuTime(group);
     }
 
     int size() {
-        return proxies;
+        return startedProxies;
     }
 
     /** Has all lists from now on counted there. */
-    void countAt(Propagation counted) {
-        propagation = counted;
+    void trackWith(Propagation tracker) {
+        propagation = tracker;
     }
 
     /** Starts so many more proxies, and waits for nothing. */
-    void start(int more) {
-        for (int i = 0; i < more; i++) {
-            int number = proxies++;
+    void start(int count) {
+        for (int i = 0; i < count; i++) {
+            int index = startedProxies++;
             EventLoop loop = group.next();
-            loop.execute(() -> new WatchingProxy(loop, discovery, seed + number, settings(number),
-                    BackendList.ZONES, BackendList.MODELS, new Seen(number), NO_LOG));
+            loop.execute(() -> new WatchingProxy(loop, discovery, seed + index, createSettings(index),
+                    BackendList.ZONES, BackendList.MACHINE_TYPES, new ListObserver(index), NO_LOG));
         }
     }
 
     /** As many replicas as backends, spread over the zones. */
-    private Settings settings(int number) {
+    private Settings createSettings(int index) {
         return new SettingsBuilder()
-                .requestClass(new RequestClass("any", AIM_US, DEADLINE_US, 1, 0, Effect.SAFE, DedupScope.ALL,
+                .requestClass(new RequestClass("any", LATENCY_GOAL_US, DEADLINE_US, 1, 0, Effect.SAFE,
+                DedupScope.ALL,
                         0))
-                .rules(new Rules(DRAIN_GRACE_US, pushed ? 0 : ASK_WITHIN_US, COLD_FROM, COLD_US, TIP_MULTIPLE,
-                        OVERLOAD_US))
-                .watch(!pushed)
-                .replicas(backends.size(), number % backends.size())
-                .zone(number % BackendList.ZONES.size())
+                .rules(new Rules(DRAIN_GRACE_US, discoveryPushes ? 0 : MAX_CALL_INTERVAL_US,
+                SLOW_START_INITIAL_SHARE, SLOW_START_US, TIP_MULTIPLE,
+                        OVERLOAD_DURATION_US))
+                .watch(!discoveryPushes)
+                .replicas(backends.size(), index % backends.size())
+                .zone(index % BackendList.ZONES.size())
                 .build();
     }
 
     /** What one proxy's module takes in. */
-    private final class Seen implements WatchingProxy.Observer {
-        private final int number;
+    private final class ListObserver implements WatchingProxy.Observer {
+        private final int proxyIndex;
 
-        Seen(int number) {
-            this.number = number;
+        ListObserver(int proxyIndex) {
+            this.proxyIndex = proxyIndex;
         }
 
         @Override
         public void listApplied(ListKind kind, List<Server> servers) {
-            Propagation counted = propagation;
-            if (kind != ListKind.CACHED && counted != null) {
-                counted.inForce(number, servers);
+            Propagation tracker = propagation;
+            if (kind != ListKind.CACHED && tracker != null) {
+                tracker.listApplied(proxyIndex, servers);
             }
         }
     }
--- a/lab/src/main/java/passhatch/lab/control/Fault.java
+++ b/lab/src/main/java/passhatch/lab/control/WatchFault.java
@@ -4,7 +4,7 @@
 import passhatch.lab.discovery.DiscoveryServer;
 
 /** What makes proxies open all their watches anew. */
-enum Fault {
+enum WatchFault {
     /** All open watches say nothing more; discovery itself is well. */
     SILENCE("silence"),
     /** All open watches are reset. */
@@ -14,7 +14,7 @@
 
     private final String title;
 
-    Fault(String title) {
+    WatchFault(String title) {
         this.title = title;
     }
 
@@ -25,10 +25,10 @@
     /** Begins it, and lets it last; returns when calls may succeed again at the next step. */
     void begin(DiscoveryServer discovery, Duration outage) throws InterruptedException {
         switch (this) {
-            case SILENCE -> discovery.silence(Integer.MAX_VALUE);
+            case SILENCE -> discovery.silenceWatches(Integer.MAX_VALUE);
             case RESET -> discovery.resetWatches();
             default -> {
-                discovery.goDown();
+                discovery.crash();
                 Thread.sleep(outage.toMillis());
             }
         }
@@ -37,7 +37,7 @@
     /** Ends what does not end by itself. */
     void end(DiscoveryServer discovery) {
         if (this == OUTAGE) {
-            discovery.comeBack(false);
+            discovery.restart(false);
         }
     }
 }
--- a/lab/src/main/java/passhatch/lab/discovery/ByteCounter.java
+++ b/lab/src/main/java/passhatch/lab/discovery/ByteCounter.java
@@ -17,7 +17,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (message instanceof ByteBuf bytes) {
-            listener.received(bytes.readableBytes());
+            listener.bytesReceived(bytes.readableBytes());
         }
         ctx.fireChannelRead(message);
     }
@@ -25,7 +25,7 @@
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (message instanceof ByteBuf bytes) {
-            listener.sent(bytes.readableBytes());
+            listener.bytesSent(bytes.readableBytes());
         }
         ctx.write(message, promise);
     }
--- a/lab/src/main/java/passhatch/lab/discovery/CallHandler.java
+++ b/lab/src/main/java/passhatch/lab/discovery/CallHandler.java
@@ -26,13 +26,13 @@
 /** One connection of a caller: calls for the whole list, one after another, until one of them is a watch. */
 final class CallHandler extends SimpleChannelInboundHandler<HttpObject> {
 
-    private static final String PATH = "/v1/endpoints";
+    private static final String ENDPOINTS_PATH = "/v1/endpoints";
 
     private final DiscoveryServer server;
     private ChannelHandlerContext ctx;
     /** Whether the caller keeps its connection after the answer to its latest call. */
     private boolean keepAlive = true;
-    private boolean watch;
+    private boolean watching;
     private boolean silenced;
 
     CallHandler(DiscoveryServer server) {
@@ -50,79 +50,79 @@
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(request);
-        server.listener().called(server.queue().length());
+        server.listener().callReceived(server.queue().length());
         QueryStringDecoder query = new QueryStringDecoder(request.uri());
         if (server.mode() == DiscoveryServer.Mode.SILENT) {
             return;
         }
         if (server.mode() == DiscoveryServer.Mode.FAILING) {
-            turnAway();
-        } else if (!query.path().equals(PATH) || !request.method().equals(HttpMethod.GET)) {
-            answer(HttpResponseStatus.NOT_FOUND, Unpooled.EMPTY_BUFFER);
+            reject();
+        } else if (!query.path().equals(ENDPOINTS_PATH) || !request.method().equals(HttpMethod.GET)) {
+            respond(HttpResponseStatus.NOT_FOUND, Unpooled.EMPTY_BUFFER);
         } else if (query.parameters().containsKey("watch")) {
-            server.queue().add(new Call(true, version(query)));
+            server.queue().add(new QueuedCall(true, requestedVersion(query)));
         } else {
-            server.queue().add(new Call(false, null));
+            server.queue().add(new QueuedCall(false, null));
         }
     }
 
     /** The version that a watch is asked from; null, for the whole list, where there is none. */
-    private static Long version(QueryStringDecoder query) {
+    private static Long requestedVersion(QueryStringDecoder query) {
         try {
             return Long.valueOf(query.parameters().get("from").get(0));
-        } catch (NullPointerException | NumberFormatException none) {
+        } catch (NullPointerException | NumberFormatException invalid) {
             return null;
         }
     }
 
     /** One call in the queue. */
-    private final class Call implements CallQueue.Call {
-        private final boolean watches;
-        private final Long from;
+    private final class QueuedCall implements DiscoveryCallQueue.Call {
+        private final boolean opensWatch;
+        private final Long fromVersion;
 
-        Call(boolean watches, Long from) {
-            this.watches = watches;
-            this.from = from;
+        QueuedCall(boolean opensWatch, Long fromVersion) {
+            this.opensWatch = opensWatch;
+            this.fromVersion = fromVersion;
         }
 
         @Override
-        public int lines() {
-            return server.answerFrom(from).lines();
+        public int responseLines() {
+            return server.updateSince(fromVersion).lines();
         }
 
         @Override
-        public boolean isGone() {
+        public boolean isDisconnected() {
             return !ctx.channel().isActive();
         }
 
         @Override
         public void serve(long waitedNs) {
-            server.listener().served(waitedNs);
-            ByteBuf body = Unpooled.wrappedBuffer(server.answerFrom(from).bytes());
-            if (watches) {
-                watch = true;
+            server.listener().callServed(waitedNs);
+            ByteBuf body = Unpooled.wrappedBuffer(server.updateSince(fromVersion).bytes());
+            if (opensWatch) {
+                watching = true;
                 HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
                 head.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
                         .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
                 ctx.write(head);
                 ctx.writeAndFlush(new DefaultHttpContent(body));
             } else {
-                answer(HttpResponseStatus.OK, body);
+                respond(HttpResponseStatus.OK, body);
             }
         }
 
         @Override
-        public void turnAway() {
-            CallHandler.this.turnAway();
+        public void reject() {
+            CallHandler.this.reject();
         }
     }
 
-    private void turnAway() {
-        server.listener().turnedAway();
-        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
+    private void reject() {
+        server.listener().callRejected();
+        respond(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
     }
 
-    private void answer(HttpResponseStatus status, ByteBuf body) {
+    private void respond(HttpResponseStatus status, ByteBuf body) {
         DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
@@ -135,7 +135,7 @@
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
-        if (event instanceof IdleStateEvent && isTold()) {
+        if (event instanceof IdleStateEvent && receivesChanges()) {
             ctx.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(new byte[] {'\n'})));
         }
     }
@@ -147,16 +147,16 @@
     }
 
     boolean isWatch() {
-        return watch;
+        return watching;
     }
 
     /** Whether it is an open watch that still says something. */
-    boolean isTold() {
-        return watch && !silenced;
+    boolean receivesChanges() {
+        return watching && !silenced;
     }
 
-    void tell(DiscoveryServer.Answer change) {
-        if (isTold()) {
+    void sendChange(DiscoveryServer.EncodedUpdate change) {
+        if (receivesChanges()) {
             ctx.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(change.bytes())));
         }
     }
@@ -166,14 +166,14 @@
     }
 
     void endWatch() {
-        if (watch) {
-            watch = false;
+        if (watching) {
+            watching = false;
             ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(ChannelFutureListener.CLOSE);
         }
     }
 
     void reset() {
-        watch = false;
+        watching = false;
         ctx.channel().config().setOption(ChannelOption.SO_LINGER, 0);
         ctx.close();
     }
--- a/lab/src/main/java/passhatch/lab/discovery/DiscoveryListener.java
+++ b/lab/src/main/java/passhatch/lab/discovery/DiscoveryListener.java
@@ -7,17 +7,17 @@
     DiscoveryListener NONE = new DiscoveryListener() { };
 
     /** A call came in and finds so many others waiting. */
-    default void called(int waiting) { }
+    default void callReceived(int queuedCalls) { }
 
     /** A call got its answer, or the beginning of a watch, after it waited for so long in nanoseconds. */
-    default void served(long waitedNs) { }
+    default void callServed(long waitedNs) { }
 
     /** A call was answered 503. */
-    default void turnedAway() { }
+    default void callRejected() { }
 
     /** Bytes were read from a caller. */
-    default void received(int bytes) { }
+    default void bytesReceived(int bytes) { }
 
     /** Bytes were written to a caller, HTTP's own included, TCP's not. */
-    default void sent(int bytes) { }
+    default void bytesSent(int bytes) { }
 }
--- a/lab/src/main/java/passhatch/lab/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/passhatch/lab/discovery/DiscoveryServer.java
@@ -34,10 +34,10 @@
 public final class DiscoveryServer implements Closeable {
 
     /** An empty line comes after so long without a change. */
-    private static final int EMPTY_LINE_EVERY_S = 2;
+    private static final int KEEP_ALIVE_INTERVAL_S = 2;
     /** More changes are remembered than proxies may fall behind in a sitting. */
-    private static final int VERSIONS_KEPT = 10_000;
-    private static final int BACKLOG = 4_096;
+    private static final int MAX_HISTORY_VERSIONS = 10_000;
+    private static final int ACCEPT_BACKLOG = 4_096;
 
     /** How calls fare. */
     public enum Mode {
@@ -53,45 +53,45 @@
             new DefaultThreadFactory("discovery", true), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final VersionedList list;
-    private final Update.Layout layout;
+    private final ListUpdate.Layout layout;
     private final DiscoveryListener listener;
-    private final CallQueue queue;
-    private final Set<CallHandler> open = new LinkedHashSet<>();
+    private final DiscoveryCallQueue queue;
+    private final Set<CallHandler> connections = new LinkedHashSet<>();
     /** Answers by the version asked from, until the list changes; many callers ask from the same one. */
-    private final Map<Long, Answer> answers = new HashMap<>();
+    private final Map<Long, EncodedUpdate> updatesByVersion = new HashMap<>();
     private final InetSocketAddress address;
-    private Channel acceptor;
+    private Channel serverChannel;
     private Mode mode = Mode.SERVING;
 
     /** An update as it goes out. */
-    record Answer(int lines, byte[] bytes) { }
+    record EncodedUpdate(int lines, byte[] bytes) { }
 
     /** Starts one that lists the endpoints, on a free port. */
     public DiscoveryServer(Collection<Endpoint> endpoints, CallCosts costs, boolean indented,
             DiscoveryListener listener) {
-        this.list = new VersionedList(endpoints, VERSIONS_KEPT);
-        this.layout = indented ? Update.Layout.INDENTED : Update.Layout.LINE;
+        this.list = new VersionedList(endpoints, MAX_HISTORY_VERSIONS);
+        this.layout = indented ? ListUpdate.Layout.INDENTED : ListUpdate.Layout.LINE;
         this.listener = listener;
-        this.queue = new CallQueue(loop, System::nanoTime, costs);
-        this.acceptor = listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        this.address = (InetSocketAddress) acceptor.localAddress();
+        this.queue = new DiscoveryCallQueue(loop, System::nanoTime, costs);
+        this.serverChannel = listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        this.address = (InetSocketAddress) serverChannel.localAddress();
     }
 
-    private Channel listen(InetSocketAddress at) {
+    private Channel listen(InetSocketAddress bindAddress) {
         return new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
+                    protected void initChannel(SocketChannel channel) {
                         CallHandler handler = new CallHandler(DiscoveryServer.this);
-                        open.add(handler);
-                        ch.closeFuture().addListener(closed -> open.remove(handler));
-                        ch.pipeline().addLast(new ByteCounter(listener), new HttpServerCodec(),
-                                new IdleStateHandler(0, EMPTY_LINE_EVERY_S, 0, TimeUnit.SECONDS), handler);
+                        connections.add(handler);
+                        channel.closeFuture().addListener(closed -> connections.remove(handler));
+                        channel.pipeline().addLast(new ByteCounter(listener), new HttpServerCodec(),
+                                new IdleStateHandler(0, KEEP_ALIVE_INTERVAL_S, 0, TimeUnit.SECONDS), handler);
                     }
                 })
-                .bind(at).syncUninterruptibly().channel();
+                .bind(bindAddress).syncUninterruptibly().channel();
     }
 
     public InetSocketAddress address() {
@@ -105,61 +105,62 @@
 
     /** Changes some backends in one version and tells all watches; returns that version. */
     public long change(List<Endpoint> changed) {
-        return inLoop(() -> {
-            answers.clear();
-            Update update = list.change(changed);
-            Answer answer = answer(update);
+        return callInLoop(() -> {
+            updatesByVersion.clear();
+            ListUpdate update = list.change(changed);
+            EncodedUpdate encoded = encode(update);
             // A write that fails closes its connection, which then leaves the set.
-            List.copyOf(open).forEach(handler -> handler.tell(answer));
+            List.copyOf(connections).forEach(handler -> handler.sendChange(encoded));
             return update.index();
         });
     }
 
     /** The version of the list. */
     public long index() {
-        return inLoop(list::index);
+        return callInLoop(list::index);
     }
 
     /** Watches that are open and not silenced. */
-    public int watches() {
-        return inLoop(() -> (int) open.stream().filter(CallHandler::isTold).count());
+    public int openWatches() {
+        return callInLoop(() -> (int) connections.stream().filter(CallHandler::receivesChanges).count());
     }
 
     /** Has calls fare so from now on. */
-    public void mode(Mode other) {
-        inLoop(() -> mode = other);
+    public void mode(Mode newMode) {
+        callInLoop(() -> mode = newMode);
     }
 
     /** Has that many of the open watches say nothing more, for as long as they stay open. */
-    public void silence(int most) {
-        inLoop(() -> {
-            open.stream().filter(CallHandler::isTold).limit(most).forEach(CallHandler::silence);
+    public void silenceWatches(int maxWatches) {
+        callInLoop(() -> {
+            connections.stream().filter(CallHandler::receivesChanges).limit(maxWatches)
+                    .forEach(CallHandler::silence);
             return null;
         });
     }
 
     /** Ends all open watches, each with a whole answer. */
     public void endWatches() {
-        inLoop(() -> {
-            List.copyOf(open).forEach(CallHandler::endWatch);
+        callInLoop(() -> {
+            List.copyOf(connections).forEach(CallHandler::endWatch);
             return null;
         });
     }
 
     /** Resets the connections of all open watches. */
     public void resetWatches() {
-        inLoop(() -> {
-            List.copyOf(open).stream().filter(CallHandler::isWatch).forEach(CallHandler::reset);
+        callInLoop(() -> {
+            List.copyOf(connections).stream().filter(CallHandler::isWatch).forEach(CallHandler::reset);
             return null;
         });
     }
 
     /** Dies: what is open is reset, new connections are refused. */
-    public synchronized void goDown() {
-        inLoop(acceptor::close).syncUninterruptibly();
-        inLoop(() -> {
+    public synchronized void crash() {
+        callInLoop(serverChannel::close).syncUninterruptibly();
+        callInLoop(() -> {
             queue.clear();
-            List.copyOf(open).forEach(CallHandler::reset);
+            List.copyOf(connections).forEach(CallHandler::reset);
             return null;
         });
     }
@@ -167,17 +168,17 @@
     /**
      * Returns at the same address after it went down.
      *
-     * @param remembering whether it still knows what changed since earlier versions
+     * @param keepHistory whether it still knows what changed since earlier versions
      */
-    public synchronized void comeBack(boolean remembering) {
-        inLoop(() -> {
-            if (!remembering) {
+    public synchronized void restart(boolean keepHistory) {
+        callInLoop(() -> {
+            if (!keepHistory) {
                 list.forgetHistory();
-                answers.clear();
+                updatesByVersion.clear();
             }
             return null;
         });
-        acceptor = listen(address);
+        serverChannel = listen(address);
     }
 
     @Override
@@ -191,7 +192,7 @@
         return mode;
     }
 
-    CallQueue queue() {
+    DiscoveryCallQueue queue() {
         return queue;
     }
 
@@ -200,16 +201,16 @@
     }
 
     /** What answers a watch from a version, or with null a call for the whole list. */
-    Answer answerFrom(Long version) {
-        return answers.computeIfAbsent(version == null ? -1 : version,
-                v -> answer(version == null ? list.whole() : list.since(version)));
+    EncodedUpdate updateSince(Long version) {
+        return updatesByVersion.computeIfAbsent(version == null ? -1 : version,
+                v -> encode(version == null ? list.fullList() : list.changesSince(version)));
     }
 
-    private Answer answer(Update update) {
-        return new Answer(update.endpoints().size(), update.bytes(layout));
+    private EncodedUpdate encode(ListUpdate update) {
+        return new EncodedUpdate(update.endpoints().size(), update.encode(layout));
     }
 
-    private <T> T inLoop(Callable<T> what) {
-        return loop.submit(what).syncUninterruptibly().getNow();
+    private <T> T callInLoop(Callable<T> action) {
+        return loop.submit(action).syncUninterruptibly().getNow();
     }
 }
--- a/lab/src/main/java/passhatch/lab/discovery/Endpoint.java
+++ b/lab/src/main/java/passhatch/lab/discovery/Endpoint.java
@@ -8,10 +8,10 @@
  *
  * @param address where proxies reach it, an IP address and a port
  * @param weight 1.0 is usual
- * @param sinceMs its last start, Unix time in milliseconds; 0 for long ago
+ * @param startedMs its last start, Unix time in milliseconds; 0 for long ago
  */
-public record Endpoint(String name, String address, String zone, String type, int group, Status status,
-        double weight, long sinceMs) {
+public record Endpoint(String name, String address, String zone, String machineType, int cell, Status status,
+        double weight, long startedMs) {
 
     /** What discovery says of a backend. */
     public enum Status {
@@ -24,26 +24,26 @@
     }
 
     /** A serving backend of the usual weight, started long ago. */
-    public static Endpoint serving(String name, String address, String zone, String type, int group) {
-        return new Endpoint(name, address, zone, type, group, Status.SERVING, 1.0, 0);
+    public static Endpoint serving(String name, String address, String zone, String machineType, int cell) {
+        return new Endpoint(name, address, zone, machineType, cell, Status.SERVING, 1.0, 0);
     }
 
     /** The same backend in another state. */
-    public Endpoint with(Status other) {
-        return new Endpoint(name, address, zone, type, group, other, weight, sinceMs);
+    public Endpoint withStatus(Status newStatus) {
+        return new Endpoint(name, address, zone, machineType, cell, newStatus, weight, startedMs);
     }
 
     /** The entry as discovery writes it. */
-    public Map<String, Object> json() {
+    public Map<String, Object> toJson() {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("name", name);
         json.put("address", address);
         json.put("zone", zone);
-        json.put("type", type);
-        json.put("group", group);
+        json.put("type", machineType);
+        json.put("group", cell);
         json.put("status", status.name());
         json.put("weight", weight);
-        json.put("since_ms", sinceMs);
+        json.put("since_ms", startedMs);
         return json;
     }
 }
--- a/lab/src/main/java/passhatch/lab/discovery/Update.java
+++ b/lab/src/main/java/passhatch/lab/discovery/ListUpdate.java
@@ -14,7 +14,7 @@
  * @param index the version of the list that it leads to
  * @param snapshot true where it is the whole list, false where it holds what has changed
  */
-record Update(long index, boolean snapshot, List<Endpoint> endpoints) {
+record ListUpdate(long index, boolean snapshot, List<Endpoint> endpoints) {
 
     /** How a message is laid out. Both are allowed, and mean the same. */
     enum Layout {
@@ -31,11 +31,11 @@
     }
 
     /** The message as bytes, with the end of its last line. */
-    byte[] bytes(Layout layout) {
+    byte[] encode(Layout layout) {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("index", index);
         json.put("snapshot", snapshot);
-        json.put("endpoints", endpoints.stream().map(Endpoint::json).toList());
+        json.put("endpoints", endpoints.stream().map(Endpoint::toJson).toList());
         try {
             return (layout.writer.asString(json) + "\n").getBytes(StandardCharsets.UTF_8);
         } catch (IOException e) {
--- a/lab/src/main/java/passhatch/lab/discovery/VersionedList.java
+++ b/lab/src/main/java/passhatch/lab/discovery/VersionedList.java
@@ -10,21 +10,21 @@
 final class VersionedList {
 
     /** What one version changed. */
-    private record Change(long index, List<Endpoint> endpoints) { }
+    private record VersionChange(long index, List<Endpoint> endpoints) { }
 
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
-    private final ArrayDeque<Change> history = new ArrayDeque<>();
-    private final int versionsKept;
+    private final ArrayDeque<VersionChange> history = new ArrayDeque<>();
+    private final int maxHistoryVersions;
     private long index = 1;
 
     /**
      * A list at version 1.
      *
-     * @param versionsKept versions whose changes are remembered; who asks from an older one gets all
+     * @param maxHistoryVersions versions whose changes are remembered; who asks from an older one gets all
      */
-    VersionedList(Collection<Endpoint> first, int versionsKept) {
-        first.forEach(e -> endpoints.put(e.name(), e));
-        this.versionsKept = versionsKept;
+    VersionedList(Collection<Endpoint> initialEndpoints, int maxHistoryVersions) {
+        initialEndpoints.forEach(e -> endpoints.put(e.name(), e));
+        this.maxHistoryVersions = maxHistoryVersions;
     }
 
     long index() {
@@ -32,20 +32,20 @@
     }
 
     /** Makes a new version and returns what it changed. */
-    Update change(List<Endpoint> changed) {
+    ListUpdate change(List<Endpoint> changed) {
         index++;
-        for (Endpoint e : changed) {
-            if (e.status() == Endpoint.Status.DELETED) {
-                endpoints.remove(e.name());
+        for (Endpoint endpoint : changed) {
+            if (endpoint.status() == Endpoint.Status.DELETED) {
+                endpoints.remove(endpoint.name());
             } else {
-                endpoints.put(e.name(), e);
+                endpoints.put(endpoint.name(), endpoint);
             }
         }
-        history.add(new Change(index, List.copyOf(changed)));
-        if (history.size() > versionsKept) {
+        history.add(new VersionChange(index, List.copyOf(changed)));
+        if (history.size() > maxHistoryVersions) {
             history.remove();
         }
-        return new Update(index, false, List.copyOf(changed));
+        return new ListUpdate(index, false, List.copyOf(changed));
     }
 
     /** Remembers no version but the present one, as after a restart. */
@@ -53,22 +53,22 @@
         history.clear();
     }
 
-    Update whole() {
-        return new Update(index, true, List.copyOf(endpoints.values()));
+    ListUpdate fullList() {
+        return new ListUpdate(index, true, List.copyOf(endpoints.values()));
     }
 
     /** What changed after a version, the latest state of each; all where that is not remembered. */
-    Update since(long from) {
+    ListUpdate changesSince(long version) {
         long oldest = history.isEmpty() ? index : history.peek().index() - 1;
-        if (from < oldest || from > index) {
-            return whole();
+        if (version < oldest || version > index) {
+            return fullList();
         }
         Map<String, Endpoint> latest = new LinkedHashMap<>();
-        for (Change change : history) {
-            if (change.index() > from) {
+        for (VersionChange change : history) {
+            if (change.index() > version) {
                 change.endpoints().forEach(e -> latest.put(e.name(), e));
             }
         }
-        return new Update(index, false, List.copyOf(latest.values()));
+        return new ListUpdate(index, false, List.copyOf(latest.values()));
     }
 }
--- a/lab/src/main/java/passhatch/lab/latency/ChildBackends.java
+++ b/lab/src/main/java/passhatch/lab/latency/BackendProcess.java
@@ -11,18 +11,18 @@
 import java.util.List;
 
 /** Stand-in backends in a process of their own, which ends with this one. */
-final class ChildBackends implements Closeable {
+final class BackendProcess implements Closeable {
 
     private final Process process;
     private final List<InetSocketAddress> addresses;
 
-    ChildBackends(int count, Cores cores) throws IOException {
-        process = new ProcessBuilder(cores.onBackends(List.of(
+    BackendProcess(int count, CoreAssignment cores) throws IOException {
+        process = new ProcessBuilder(cores.onBackendsCore(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-Xmx64m", "-cp", System.getProperty("java.class.path"), StandInBackends.class.getName(),
+                "-Xmx64m", "-cp", System.getProperty("java.class.path"), StubBackends.class.getName(),
                 Integer.toString(count)))).redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        BufferedReader said = process.inputReader(StandardCharsets.UTF_8);
-        String ports = said.readLine();
+        BufferedReader output = process.inputReader(StandardCharsets.UTF_8);
+        String ports = output.readLine();
         if (ports == null) {
             throw new IOException("the backends did not start");
         }
--- a/lab/src/main/java/passhatch/lab/latency/Cores.java
+++ b/lab/src/main/java/passhatch/lab/latency/CoreAssignment.java
@@ -13,24 +13,25 @@
  * one for the backends, the rest for the load. With two the load shares with the backends; with one, or
  * without taskset, nothing is pinned.
  */
-final class Cores {
+final class CoreAssignment {
 
-    private static final Path STATUS = Path.of("/proc/self/status");
-    private static final String ALLOWED = "Cpus_allowed_list:";
+    private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
+    private static final String ALLOWED_CORES_FIELD = "Cpus_allowed_list:";
 
-    private final List<Integer> allowed;
+    private final List<Integer> allowedCores;
 
-    private Cores(List<Integer> allowed) {
-        this.allowed = allowed;
+    private CoreAssignment(List<Integer> allowedCores) {
+        this.allowedCores = allowedCores;
     }
 
-    static Cores allowed() throws IOException, InterruptedException {
-        if (!Files.isReadable(STATUS) || !hasTaskset()) {
-            return new Cores(List.of());
+    static CoreAssignment detect() throws IOException, InterruptedException {
+        if (!Files.isReadable(PROCESS_STATUS) || !hasTaskset()) {
+            return new CoreAssignment(List.of());
         }
-        try (var lines = Files.lines(STATUS)) {
-            return new Cores(lines.filter(line -> line.startsWith(ALLOWED)).findFirst()
-                    .map(line -> parse(line.substring(ALLOWED.length()).strip())).orElse(List.of()));
+        try (var lines = Files.lines(PROCESS_STATUS)) {
+            return new CoreAssignment(lines.filter(line -> line.startsWith(ALLOWED_CORES_FIELD)).findFirst()
+                    .map(line -> parse(line.substring(ALLOWED_CORES_FIELD.length()).strip()))
+                    .orElse(List.of()));
         }
     }
 
@@ -46,41 +47,42 @@
     /** Reads a list such as 0-3,6. */
     static List<Integer> parse(String text) {
         List<Integer> cores = new ArrayList<>();
-        for (String part : text.split(",")) {
-            String[] ends = part.split("-");
-            IntStream.rangeClosed(Integer.parseInt(ends[0]), Integer.parseInt(ends[ends.length - 1]))
+        for (String range : text.split(",")) {
+            String[] bounds = range.split("-");
+            IntStream.rangeClosed(Integer.parseInt(bounds[0]), Integer.parseInt(bounds[bounds.length - 1]))
                     .forEach(cores::add);
         }
         return cores;
     }
 
-    private boolean pins() {
-        return allowed.size() > 1;
+    private boolean isPinning() {
+        return allowedCores.size() > 1;
     }
 
-    private String proxy() {
-        return allowed.get(0).toString();
+    private String proxyCore() {
+        return allowedCores.get(0).toString();
     }
 
-    private String backends() {
-        return allowed.get(1).toString();
+    private String backendsCore() {
+        return allowedCores.get(1).toString();
     }
 
-    private String load() {
-        return allowed.size() == 2 ? backends() : list(allowed.subList(2, allowed.size()));
+    private String loadCores() {
+        return allowedCores.size() == 2 ? backendsCore()
+                : formatList(allowedCores.subList(2, allowedCores.size()));
     }
 
     /** The command on the proxy's core. */
-    List<String> onProxys(List<String> command) {
-        return pinned(command, pins() ? proxy() : null);
+    List<String> onProxyCore(List<String> command) {
+        return pinnedCommand(command, isPinning() ? proxyCore() : null);
     }
 
     /** The command on the backends' core. */
-    List<String> onBackends(List<String> command) {
-        return pinned(command, pins() ? backends() : null);
+    List<String> onBackendsCore(List<String> command) {
+        return pinnedCommand(command, isPinning() ? backendsCore() : null);
     }
 
-    private static List<String> pinned(List<String> command, String core) {
+    private static List<String> pinnedCommand(List<String> command, String core) {
         if (core == null) {
             return command;
         }
@@ -90,16 +92,16 @@
     }
 
     /** Keeps this process, which is the load, to its own cores. */
-    void keepLoadApart() throws IOException {
-        if (pins()) {
-            pinThisProcess(load());
+    void pinLoad() throws IOException {
+        if (isPinning()) {
+            pinThisProcess(loadCores());
         }
     }
 
     /** Lets this process use all its cores again. */
-    void release() throws IOException {
-        if (pins()) {
-            pinThisProcess(list(allowed));
+    void unpinLoad() throws IOException {
+        if (isPinning()) {
+            pinThisProcess(formatList(allowedCores));
         }
     }
 
@@ -112,13 +114,14 @@
         }
     }
 
-    private static String list(List<Integer> cores) {
+    private static String formatList(List<Integer> cores) {
         return cores.stream().map(String::valueOf).collect(Collectors.joining(","));
     }
 
     @Override
     public String toString() {
-        return pins() ? "proxy on " + proxy() + ", backends on " + backends() + ", load on " + load()
+        return isPinning() ? "proxy on " + proxyCore() + ", backends on " + backendsCore() + ", load on "
+                + loadCores()
                 : "nothing is pinned";
     }
 }
--- a/lab/src/main/java/passhatch/lab/latency/LoadResult.java
+++ b/lab/src/main/java/passhatch/lab/latency/LoadResult.java
@@ -6,12 +6,12 @@
 /** What became of a load. It is written by one thread, and read when the load is over. */
 final class LoadResult {
 
-    private static final long LONGEST_US = TimeUnit.MINUTES.toMicros(2);
-    private static final int DIGITS = 3;
+    private static final long MAX_RECORDED_US = TimeUnit.MINUTES.toMicros(2);
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private final int planned;
-    private final Histogram latencyUs = new Histogram(LONGEST_US, DIGITS);
-    private final Histogram lateUs = new Histogram(LONGEST_US, DIGITS);
+    private final Histogram latencyUs = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGITS);
+    private final Histogram sendDelayUs = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGITS);
     private int sent;
     private int notServed;
 
@@ -19,9 +19,9 @@
         this.planned = planned;
     }
 
-    void sent(long lateNs) {
+    void sent(long sendDelayNs) {
         sent++;
-        lateUs.recordValue(TimeUnit.NANOSECONDS.toMicros(lateNs));
+        sendDelayUs.recordValue(TimeUnit.NANOSECONDS.toMicros(sendDelayNs));
     }
 
     void served(long latencyNs) {
@@ -58,7 +58,7 @@
     }
 
     /** How long after its planned time each request was written, microseconds. */
-    Histogram lateUs() {
-        return lateUs;
+    Histogram sendDelayUs() {
+        return sendDelayUs;
     }
 }
--- a/lab/src/main/java/passhatch/lab/latency/OpenLoopLoad.java
+++ b/lab/src/main/java/passhatch/lab/latency/OpenLoopLoad.java
@@ -45,28 +45,28 @@
             new DefaultThreadFactory("load", true), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final InetSocketAddress target;
-    private final int mostConnections;
+    private final int maxConnections;
     private final SplittableRandom random;
     // Touched by the event loop alone.
-    private final ArrayDeque<Connection> idle = new ArrayDeque<>();
-    private final ArrayDeque<Planned> waiting = new ArrayDeque<>();
-    private int connections;
+    private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
+    private final ArrayDeque<PlannedRequest> queuedRequests = new ArrayDeque<>();
+    private int connectionCount;
 
     /** One request of a load. */
-    private record Planned(Run run, long atNs) { }
+    private record PlannedRequest(LoadRun run, long plannedNs) { }
 
     /** One load. */
-    private static final class Run {
+    private static final class LoadRun {
         final LoadResult result;
-        final CompletableFuture<Void> over = new CompletableFuture<>();
+        final CompletableFuture<Void> completion = new CompletableFuture<>();
 
-        Run(int planned) {
+        LoadRun(int planned) {
             this.result = new LoadResult(planned);
         }
 
-        void ended() {
+        void completeIfAllEnded() {
             if (result.ended() == result.planned()) {
-                over.complete(null);
+                completion.complete(null);
             }
         }
     }
@@ -74,131 +74,131 @@
     /**
      * A load on one address.
      *
-     * @param mostConnections beyond these, requests wait here for one to be free
+     * @param maxConnections beyond these, requests wait here for one to be free
      * @param seed of the requests' ids, which no other load may share
      */
-    OpenLoopLoad(InetSocketAddress target, int mostConnections, long seed) {
+    OpenLoopLoad(InetSocketAddress target, int maxConnections, long seed) {
         this.target = target;
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
         this.random = new SplittableRandom(seed);
     }
 
     /** Sends at a rate for a time, then waits so long at most for what is out. */
-    LoadResult run(double perSecond, Duration time, Duration grace) throws InterruptedException {
-        int planned = (int) Math.round(perSecond * time.toNanos() / 1e9);
-        double everyNs = TimeUnit.SECONDS.toNanos(1) / perSecond;
-        Run run = new Run(planned);
+    LoadResult run(double perSecond, Duration duration, Duration grace) throws InterruptedException {
+        int planned = (int) Math.round(perSecond * duration.toNanos() / 1e9);
+        double intervalNs = TimeUnit.SECONDS.toNanos(1) / perSecond;
+        LoadRun run = new LoadRun(planned);
         long startNs = System.nanoTime();
         for (int i = 0; i < planned; i++) {
-            Planned next = new Planned(run, startNs + (long) (i * everyNs));
-            for (long now = System.nanoTime(); now < next.atNs; now = System.nanoTime()) {
-                LockSupport.parkNanos(next.atNs - now);
+            PlannedRequest request = new PlannedRequest(run, startNs + (long) (i * intervalNs));
+            for (long nowNs = System.nanoTime(); nowNs < request.plannedNs; nowNs = System.nanoTime()) {
+                LockSupport.parkNanos(request.plannedNs - nowNs);
                 if (Thread.interrupted()) {
                     throw new InterruptedException();
                 }
             }
-            loop.execute(() -> send(next));
+            loop.execute(() -> send(request));
         }
         try {
-            run.over.get(grace.toMillis(), TimeUnit.MILLISECONDS);
-        } catch (TimeoutException late) {
+            run.completion.get(grace.toMillis(), TimeUnit.MILLISECONDS);
+        } catch (TimeoutException graceExpired) {
             // What is still out then is neither served nor ended, and the result shows it.
-        } catch (ExecutionException never) {
-            throw new IllegalStateException(never);
+        } catch (ExecutionException unexpected) {
+            throw new IllegalStateException(unexpected);
         }
         // Its last steps are over once the loop gets to this one.
         loop.submit(() -> { }).syncUninterruptibly();
         return run.result;
     }
 
-    private void send(Planned request) {
-        Connection connection = idle.pollLast();
+    private void send(PlannedRequest request) {
+        Connection connection = idleConnections.pollLast();
         if (connection != null) {
             connection.send(request);
-        } else if (connections < mostConnections) {
-            connections++;
+        } else if (connectionCount < maxConnections) {
+            connectionCount++;
             new Connection().open(request);
         } else {
-            waiting.add(request);
+            queuedRequests.add(request);
         }
     }
 
-    private void fail(Planned request) {
+    private void recordFailure(PlannedRequest request) {
         request.run.result.notServed();
-        request.run.ended();
+        request.run.completeIfAllEnded();
     }
 
     /** A connection, and the request that is out on it. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private Channel channel;
-        private Planned out;
-        private boolean ok;
+        private PlannedRequest inFlight;
+        private boolean isStatusOk;
 
-        void open(Planned first) {
+        void open(PlannedRequest first) {
             new Bootstrap().group(loop).channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel ch) {
-                            ch.pipeline().addLast(new HttpClientCodec(), Connection.this);
+                        protected void initChannel(SocketChannel newChannel) {
+                            newChannel.pipeline().addLast(new HttpClientCodec(), Connection.this);
                         }
                     })
-                    .connect(target).addListener((ChannelFuture done) -> {
-                        if (done.isSuccess()) {
-                            channel = done.channel();
-                            channel.closeFuture().addListener(closed -> ended());
+                    .connect(target).addListener((ChannelFuture connected) -> {
+                        if (connected.isSuccess()) {
+                            channel = connected.channel();
+                            channel.closeFuture().addListener(closed -> handleClose());
                             send(first);
                         } else {
-                            connections--;
-                            fail(first);
+                            connectionCount--;
+                            recordFailure(first);
                         }
                     });
         }
 
-        void send(Planned request) {
+        void send(PlannedRequest request) {
             if (!channel.isActive()) {
                 OpenLoopLoad.this.send(request);
                 return;
             }
-            out = request;
+            inFlight = request;
             DefaultFullHttpRequest get = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                    ServedProxy.PATH);
+                    ProxyProcess.PATH);
             get.headers().set(HttpHeaderNames.HOST, "load")
                     .set("X-Request-Id", HexFormat.of().toHexDigits(random.nextLong()))
-                    .set("X-Deadline", ServedProxy.DEADLINE_MS + "m");
-            request.run.result.sent(System.nanoTime() - request.atNs);
+                    .set("X-Deadline", ProxyProcess.DEADLINE_MS + "m");
+            request.run.result.sent(System.nanoTime() - request.plannedNs);
             channel.writeAndFlush(get);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
             if (message instanceof HttpResponse response) {
-                ok = response.status().equals(HttpResponseStatus.OK);
+                isStatusOk = response.status().equals(HttpResponseStatus.OK);
             }
-            if (message instanceof LastHttpContent && out != null) {
-                Planned answered = out;
-                out = null;
-                if (ok) {
-                    answered.run.result.served(System.nanoTime() - answered.atNs);
-                    answered.run.ended();
+            if (message instanceof LastHttpContent && inFlight != null) {
+                PlannedRequest completed = inFlight;
+                inFlight = null;
+                if (isStatusOk) {
+                    completed.run.result.served(System.nanoTime() - completed.plannedNs);
+                    completed.run.completeIfAllEnded();
                 } else {
-                    fail(answered);
+                    recordFailure(completed);
                 }
-                Planned next = waiting.poll();
+                PlannedRequest next = queuedRequests.poll();
                 if (next == null) {
-                    idle.add(this);
+                    idleConnections.add(this);
                 } else {
                     send(next);
                 }
             }
         }
 
-        private void ended() {
-            connections--;
-            idle.remove(this);
-            if (out != null) {
-                fail(out);
-                out = null;
+        private void handleClose() {
+            connectionCount--;
+            idleConnections.remove(this);
+            if (inFlight != null) {
+                recordFailure(inFlight);
+                inFlight = null;
             }
         }
 
--- a/lab/src/main/java/passhatch/lab/latency/ServedProxy.java
+++ b/lab/src/main/java/passhatch/lab/latency/ProxyProcess.java
@@ -21,38 +21,38 @@
 import passhatch.lab.DeployFile;
 
 /** A proxy in a process of its own, started as the deploy file's {@code run} says. */
-final class ServedProxy implements Closeable {
+final class ProxyProcess implements Closeable {
 
     /** Requests of its only class, which is safe to repeat. */
     static final String PATH = "/any/1";
     static final int DEADLINE_MS = 5_000;
     /** The only zone and machine kind that it is told of. */
     static final String ZONE = "a";
-    static final String MODEL = "m";
-    private static final Duration START = Duration.ofSeconds(30);
-    private static final int POLL_MS = 50;
-    private static final int SOCKETS = 1_024;
+    static final String MACHINE_TYPE = "m";
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
+    private static final int POLL_INTERVAL_MS = 50;
+    private static final int MAX_SOCKETS = 1_024;
 
     private final Process process;
     private final InetSocketAddress address;
-    private final Path folder;
+    private final Path workingDirectory;
 
     /**
      * Starts one and waits until it is ready. What it says goes to a file in the folder logs.
      *
      * @param root the project's folder, in which {@code run} is started
      */
-    ServedProxy(Path root, Cores cores, InetSocketAddress discovery)
+    ProxyProcess(Path root, CoreAssignment cores, InetSocketAddress discovery)
             throws IOException, InterruptedException {
-        folder = Files.createTempDirectory("served-proxy");
+        workingDirectory = Files.createTempDirectory("served-proxy");
         address = freeAddress();
-        Path config = folder.resolve("config.json");
-        Files.writeString(config, JSON.std.asString(config()));
+        Path config = workingDirectory.resolve("config.json");
+        Files.writeString(config, JSON.std.asString(createConfig()));
         ProcessBuilder builder = new ProcessBuilder(
-                cores.onProxys(List.of("/bin/sh", "-c", DeployFile.runCommand(root))));
-        builder.environment().putAll(Map.of("PROXY_NAME", "n0", "PROXY_LISTEN", text(address),
-                "PROXY_DISCOVERY", text(discovery), "PROXY_CONFIG", config.toString(),
-                "TMPDIR", folder.toString()));
+                cores.onProxyCore(List.of("/bin/sh", "-c", DeployFile.runCommand(root))));
+        builder.environment().putAll(Map.of("PROXY_NAME", "n0", "PROXY_LISTEN", hostAndPort(address),
+                "PROXY_DISCOVERY", hostAndPort(discovery), "PROXY_CONFIG", config.toString(),
+                "TMPDIR", workingDirectory.toString()));
         Path log = Files.createDirectories(root.resolve("logs")).resolve("latency-proxy.log");
         process = builder.directory(root.toFile()).redirectErrorStream(true).redirectOutput(log.toFile())
                 .start();
@@ -60,43 +60,44 @@
         awaitReady();
     }
 
-    private static Map<String, Object> config() {
-        Map<String, Object> kind = Map.of("name", "any", "effect", "pure", "goalTimeUs", 1_000_000,
+    private static Map<String, Object> createConfig() {
+        Map<String, Object> requestClass = Map.of("name", "any", "effect", "pure", "goalTimeUs", 1_000_000,
                 "deadlineUs", DEADLINE_MS * 1_000, "worth", 1, "group", "all");
         Map<String, Object> limits = Map.of("maxAttempts", 3, "cancel", true, "mayDuplicate", true,
                 "probes", false, "retryAfter", true, "maxRetryAfterUs", 1_000_000, "maxStreams", 1,
                 "keepaliveUs", 30_000_000, "connectTimeoutUs", 250_000);
         Map<String, Object> rules = Map.of("drainGraceUs", 2_500_000, "coldFrom", 0.32, "coldUs", 8_600_000,
                 "tipMultiple", 3, "overloadForUs", 3_000_000);
-        return Map.of("seed", "00000000000000ff", "limits", Map.of("sockets", SOCKETS), "settings",
-                Map.of("categories", List.of(kind), "tenants", List.of(), "dcs", List.of(ZONE),
-                        "machineTypes", List.of(MODEL), "balancers", 1, "discovery", "pushed",
+        return Map.of("seed", "00000000000000ff", "limits", Map.of("sockets", MAX_SOCKETS), "settings",
+                Map.of("categories", List.of(requestClass), "tenants", List.of(), "dcs", List.of(ZONE),
+                        "machineTypes", List.of(MACHINE_TYPE), "balancers", 1, "discovery", "pushed",
                         "limits", limits, "rules", rules));
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     private static InetSocketAddress freeAddress() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return (InetSocketAddress) free.getLocalSocketAddress();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return (InetSocketAddress) socket.getLocalSocketAddress();
         }
     }
 
     private void awaitReady() throws IOException, InterruptedException {
         HttpClient client = HttpClient.newHttpClient();
-        HttpRequest ready = HttpRequest.newBuilder(URI.create("http://" + text(address) + "/ready")).build();
-        long end = System.nanoTime() + START.toNanos();
-        while (System.nanoTime() < end && process.isAlive()) {
+        HttpRequest readyRequest = HttpRequest
+                .newBuilder(URI.create("http://" + hostAndPort(address) + "/ready")).build();
+        long endNs = System.nanoTime() + START_TIMEOUT.toNanos();
+        while (System.nanoTime() < endNs && process.isAlive()) {
             try {
-                if (client.send(ready, BodyHandlers.discarding()).statusCode() == 200) {
+                if (client.send(readyRequest, BodyHandlers.discarding()).statusCode() == 200) {
                     return;
                 }
-            } catch (IOException notYet) {
+            } catch (IOException notListening) {
                 // It does not listen yet.
             }
-            TimeUnit.MILLISECONDS.sleep(POLL_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         close();
         throw new IOException("the proxy did not get ready; logs/latency-proxy.log says why");
@@ -107,15 +108,15 @@
     }
 
     /** Processor time that it used so far; the system counts in hundredths of a second. */
-    Duration processorTime() {
+    Duration cpuTime() {
         return process.info().totalCpuDuration().orElseThrow();
     }
 
     @Override
     public void close() throws IOException {
         process.destroyForcibly();
-        try (Stream<Path> inside = Files.walk(folder)) {
-            for (Path file : inside.sorted(Comparator.reverseOrder()).toList()) {
+        try (Stream<Path> files = Files.walk(workingDirectory)) {
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
         }
--- a/lab/src/main/java/passhatch/lab/latency/StandInBackends.java
+++ b/lab/src/main/java/passhatch/lab/latency/StubBackends.java
@@ -28,7 +28,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Backends on loopback that answer every request at once with the same small body, on one thread. */
-public final class StandInBackends implements Closeable {
+public final class StubBackends implements Closeable {
 
     private static final int BODY_BYTES = 128;
     private static final ByteBuf BODY = Unpooled.unreleasableBuffer(
@@ -38,16 +38,16 @@
             new DefaultThreadFactory("backends", true), NioIoHandler.newFactory());
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     /** Touched by the event loop alone: answers held back, and whether they are. */
-    private final List<Runnable> held = new ArrayList<>();
+    private final List<Runnable> delayedResponses = new ArrayList<>();
     private boolean stalled;
 
-    StandInBackends(int count) {
+    StubBackends(int count) {
         ServerBootstrap bootstrap = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpServerCodec(), new Answering());
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline().addLast(new HttpServerCodec(), new ResponseHandler());
                     }
                 });
         for (int i = 0; i < count; i++) {
@@ -58,7 +58,7 @@
 
     /** Runs as many as the argument says, prints their ports on a line, and ends with standard input. */
     public static void main(String[] args) throws IOException {
-        try (StandInBackends backends = new StandInBackends(Integer.parseInt(args[0]))) {
+        try (StubBackends backends = new StubBackends(Integer.parseInt(args[0]))) {
             System.out.println(String.join(" ",
                     backends.addresses.stream().map(a -> Integer.toString(a.getPort())).toList()));
             while (System.in.read() >= 0) {
@@ -72,32 +72,32 @@
     }
 
     /** Holds all answers back from now on, or gives those held back. */
-    void stall(boolean holds) {
+    void stall(boolean delayResponses) {
         group.next().submit(() -> {
-            stalled = holds;
-            if (!holds) {
-                held.forEach(Runnable::run);
-                held.clear();
+            stalled = delayResponses;
+            if (!delayResponses) {
+                delayedResponses.forEach(Runnable::run);
+                delayedResponses.clear();
             }
         }).syncUninterruptibly();
     }
 
     /** Answers that are held back now. */
-    int heldBack() {
-        return group.next().submit(held::size).syncUninterruptibly().getNow();
+    int delayedResponseCount() {
+        return group.next().submit(delayedResponses::size).syncUninterruptibly().getNow();
     }
 
-    private final class Answering extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
             if (message instanceof LastHttpContent && stalled) {
-                held.add(() -> answer(ctx));
+                delayedResponses.add(() -> respond(ctx));
             } else if (message instanceof LastHttpContent) {
-                answer(ctx);
+                respond(ctx);
             }
         }
 
-        private void answer(ChannelHandlerContext ctx) {
+        private void respond(ChannelHandlerContext ctx) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.OK, BODY.duplicate());
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY_BYTES);
--- a/lab/src/main/java/passhatch/lab/soak/FaultPlan.java
+++ b/lab/src/main/java/passhatch/lab/soak/FaultPlan.java
@@ -46,33 +46,33 @@
         CONNECT_FAILS(500, 4_000),
         SOCKET_FAILS(500, 4_000);
 
-        private final int leastMs;
-        private final int mostMs;
+        private final int minDurationMs;
+        private final int maxDurationMs;
 
-        Kind(int leastMs, int mostMs) {
-            this.leastMs = leastMs;
-            this.mostMs = mostMs;
+        Kind(int minDurationMs, int maxDurationMs) {
+            this.minDurationMs = minDurationMs;
+            this.maxDurationMs = maxDurationMs;
         }
     }
 
     /**
      * One fault.
      *
-     * @param choice picks its target and what else it leaves open
+     * @param randomChoice picks its target and what else it leaves open
      */
-    record Fault(Kind kind, int atMs, int lengthMs, int choice) { }
+    record Fault(Kind kind, int startMs, int durationMs, int randomChoice) { }
 
     /** Faults for a run of that length, so many a second on average. */
-    static FaultPlan draw(long seed, int lengthMs, double perSecond) {
+    static FaultPlan generate(long seed, int runDurationMs, double faultsPerSecond) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> faults = new ArrayList<>();
-        int count = (int) (lengthMs / 1_000.0 * perSecond);
+        int count = (int) (runDurationMs / 1_000.0 * faultsPerSecond);
         for (int i = 0; i < count; i++) {
             Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-            int length = kind.leastMs + random.nextInt(kind.mostMs - kind.leastMs + 1);
-            faults.add(new Fault(kind, random.nextInt(lengthMs), length, random.nextInt(1 << 20)));
+            int durationMs = kind.minDurationMs + random.nextInt(kind.maxDurationMs - kind.minDurationMs + 1);
+            faults.add(new Fault(kind, random.nextInt(runDurationMs), durationMs, random.nextInt(1 << 20)));
         }
-        faults.sort(Comparator.comparingInt(Fault::atMs));
+        faults.sort(Comparator.comparingInt(Fault::startMs));
         return new FaultPlan(List.copyOf(faults));
     }
 }
--- a/lab/src/main/java/passhatch/lab/soak/FaultShim.java
+++ b/lab/src/main/java/passhatch/lab/soak/FaultShim.java
@@ -27,36 +27,36 @@
     }
 
     /** The layout of {@code struct faults} in fault_shim.c. */
-    private static final int CLOCK_STEP = 0;
-    private static final int ACCEPT = 8;
-    private static final int CONNECT = 16;
-    private static final int SOCKET = 24;
-    private static final int SIZE = 32;
-    private static final int COMPILE_S = 60;
+    private static final int CLOCK_STEP_OFFSET = 0;
+    private static final int ACCEPT_OFFSET = 8;
+    private static final int CONNECT_OFFSET = 16;
+    private static final int SOCKET_OFFSET = 24;
+    private static final int SIZE_BYTES = 32;
+    private static final int COMPILE_TIMEOUT_S = 60;
 
     private final Path library;
     private final Path file;
-    private final ByteBuffer faults;
+    private final ByteBuffer mappedFaults;
 
     /** A shim with no fault, which keeps what it does in the file. */
     FaultShim(Path library, Path file) throws IOException {
         this.library = library;
         this.file = file;
-        try (RandomAccessFile open = new RandomAccessFile(file.toFile(), "rw")) {
-            open.setLength(SIZE);
-            MappedByteBuffer mapped = open.getChannel().map(MapMode.READ_WRITE, 0, SIZE);
-            faults = mapped.order(ByteOrder.nativeOrder());
+        try (RandomAccessFile opened = new RandomAccessFile(file.toFile(), "rw")) {
+            opened.setLength(SIZE_BYTES);
+            MappedByteBuffer mapped = opened.getChannel().map(MapMode.READ_WRITE, 0, SIZE_BYTES);
+            mappedFaults = mapped.order(ByteOrder.nativeOrder());
         }
     }
 
     /** Compiles the library into the folder; null where this machine has no C compiler. */
-    static Path compile(Path root, Path folder) throws IOException, InterruptedException {
-        Path library = folder.resolve("fault_shim.so").toAbsolutePath();
+    static Path compile(Path root, Path directory) throws IOException, InterruptedException {
+        Path library = directory.resolve("fault_shim.so").toAbsolutePath();
         try {
             Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O2", "-Wall", "-o",
                     library.toString(), root.resolve("lab/src/main/c/fault_shim.c").toString(), "-ldl")
                     .inheritIO().start();
-            if (!compiler.waitFor(COMPILE_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
+            if (!compiler.waitFor(COMPILE_TIMEOUT_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
                 throw new IOException("fault_shim.c does not compile");
             }
         } catch (IOException noCompiler) {
@@ -76,22 +76,22 @@
     }
 
     /** The wall clock is off by so much from now on; zero sets it right. */
-    void stepClock(Duration by) {
-        faults.putLong(CLOCK_STEP, by.toNanos());
+    void stepClock(Duration offset) {
+        mappedFaults.putLong(CLOCK_STEP_OFFSET, offset.toNanos());
     }
 
     /** So many of a thousand calls to accept fail. */
-    void failAccept(int permille, Errno how) {
-        faults.putInt(ACCEPT + Integer.BYTES, how.number).putInt(ACCEPT, permille);
+    void failAccept(int permille, Errno errno) {
+        mappedFaults.putInt(ACCEPT_OFFSET + Integer.BYTES, errno.number).putInt(ACCEPT_OFFSET, permille);
     }
 
     /** So many of a thousand calls to socket fail. */
-    void failSocket(int permille, Errno how) {
-        faults.putInt(SOCKET + Integer.BYTES, how.number).putInt(SOCKET, permille);
+    void failSocket(int permille, Errno errno) {
+        mappedFaults.putInt(SOCKET_OFFSET + Integer.BYTES, errno.number).putInt(SOCKET_OFFSET, permille);
     }
 
     /** So many of a thousand calls to connect fail. */
-    void failConnect(int permille, Errno how) {
-        faults.putInt(CONNECT + Integer.BYTES, how.number).putInt(CONNECT, permille);
+    void failConnect(int permille, Errno errno) {
+        mappedFaults.putInt(CONNECT_OFFSET + Integer.BYTES, errno.number).putInt(CONNECT_OFFSET, permille);
     }
 }
--- a/lab/src/main/java/passhatch/lab/soak/FaultyBackends.java
+++ b/lab/src/main/java/passhatch/lab/soak/FaultyBackends.java
@@ -29,7 +29,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import passhatch.lab.soak.Ledger.Arrival;
+import passhatch.lab.soak.RunObservations.Arrival;
 
 /** Backends on loopback that can be made to fail, on one thread; each request that arrives is recorded. */
 final class FaultyBackends implements Closeable {
@@ -50,20 +50,20 @@
     /** Not the usual loopback address: there a connection might take the port of one that is down. */
     static final String HOST = "127.2.0.1";
     private static final int MEAN_SERVICE_US = 15_000;
-    private static final int MOST_BODY = 1 << 16;
+    private static final int MAX_BODY_BYTES = 1 << 16;
     /** Part of the requests that a fault strikes. */
-    private static final double STRUCK = 0.6;
+    private static final double FAULT_RATIO = 0.6;
     private static final long NANOS_PER_MICRO = 1_000;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
             new DefaultThreadFactory("faulty-backends", true), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Ledger ledger;
+    private final RunObservations observations;
     private final SplittableRandom random;
     private final List<Backend> backends = new ArrayList<>();
 
-    FaultyBackends(int count, long seed, Ledger ledger) {
-        this.ledger = ledger;
+    FaultyBackends(int count, long seed, RunObservations observations) {
+        this.observations = observations;
         this.random = new SplittableRandom(seed);
         for (int i = 0; i < count; i++) {
             Backend backend = new Backend("s-" + i);
@@ -85,26 +85,26 @@
     }
 
     void mode(int backend, Mode mode) {
-        inLoop(() -> backends.get(backend).mode = mode);
+        runInLoop(() -> backends.get(backend).mode = mode);
     }
 
     /** Its process dies: connections are reset, new ones refused. */
     void crash(int backend) {
-        Backend it = backends.get(backend);
-        Channel listener = it.listener;
+        Backend target = backends.get(backend);
+        Channel listener = target.listener;
         listener.close().syncUninterruptibly();
-        inLoop(() -> Set.copyOf(it.open).forEach(Backend::reset));
+        runInLoop(() -> Set.copyOf(target.openChannels).forEach(Backend::reset));
     }
 
     /** It runs again at the same address. */
     void restart(int backend) {
-        Backend it = backends.get(backend);
-        inLoop(() -> it.mode = Mode.SERVING);
-        it.listen(it.address);
+        Backend target = backends.get(backend);
+        runInLoop(() -> target.mode = Mode.SERVING);
+        target.listen(target.address);
     }
 
-    private void inLoop(Runnable what) {
-        loop.submit(what).syncUninterruptibly();
+    private void runInLoop(Runnable action) {
+        loop.submit(action).syncUninterruptibly();
     }
 
     @Override
@@ -114,7 +114,7 @@
 
     private final class Backend {
         private final String name;
-        private final Set<Channel> open = new HashSet<>();
+        private final Set<Channel> openChannels = new HashSet<>();
         private Mode mode = Mode.SERVING;
         private InetSocketAddress address;
         private Channel listener;
@@ -123,20 +123,21 @@
             this.name = name;
         }
 
-        void listen(InetSocketAddress at) {
+        void listen(InetSocketAddress bindAddress) {
             listener = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
                     .option(ChannelOption.SO_REUSEADDR, true)
                     .childOption(ChannelOption.TCP_NODELAY, true)
                     .childHandler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel ch) {
-                            open.add(ch);
-                            ch.closeFuture().addListener(closed -> open.remove(ch));
-                            ch.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY),
-                                    new Answering(Backend.this));
+                        protected void initChannel(SocketChannel channel) {
+                            openChannels.add(channel);
+                            channel.closeFuture().addListener(closed -> openChannels.remove(channel));
+                            channel.pipeline().addLast(new HttpServerCodec(),
+                                    new HttpObjectAggregator(MAX_BODY_BYTES),
+                                    new RequestHandler(Backend.this));
                         }
                     })
-                    .bind(at).syncUninterruptibly().channel();
+                    .bind(bindAddress).syncUninterruptibly().channel();
             address = (InetSocketAddress) listener.localAddress();
         }
 
@@ -148,42 +149,44 @@
         }
     }
 
-    private final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Backend backend;
 
-        Answering(Backend backend) {
+        RequestHandler(Backend backend) {
             this.backend = backend;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            boolean struck = random.nextDouble() < STRUCK;
-            Mode mode = struck || backend.mode == Mode.HANGING ? backend.mode : Mode.SERVING;
+            boolean isAffected = random.nextDouble() < FAULT_RATIO;
+            Mode mode = isAffected || backend.mode == Mode.HANGING ? backend.mode : Mode.SERVING;
             String id = request.headers().get("X-Request-Id", "");
-            ledger.add(new Arrival(id, backend.name, System.nanoTime(), left(request), mode != Mode.FULL));
+            observations.add(new Arrival(id, backend.name, System.nanoTime(), timeLeftNs(request),
+                    mode != Mode.FULL));
             long serviceUs = (long) (-Math.log(1 - random.nextDouble()) * MEAN_SERVICE_US);
             switch (mode) {
                 case HANGING -> { }
-                case FULL -> answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true);
-                case ERRING -> after(serviceUs, () -> answer(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR,
+                case FULL -> respond(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true);
+                case ERRING -> schedule(serviceUs,
+                        () -> respond(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR,
                         "", false));
-                case RESETTING -> after(serviceUs, () -> Backend.reset(ctx.channel()));
-                case SERVING -> after(serviceUs, () -> answer(ctx, HttpResponseStatus.OK,
-                        LoadClient.answerTo(id), false));
+                case RESETTING -> schedule(serviceUs, () -> Backend.reset(ctx.channel()));
+                case SERVING -> schedule(serviceUs, () -> respond(ctx, HttpResponseStatus.OK,
+                        LoadClient.responseBody(id), false));
                 default -> throw new IllegalStateException(mode.name());
             }
         }
 
-        private void after(long us, Runnable what) {
-            loop.schedule(what, us, TimeUnit.MICROSECONDS);
+        private void schedule(long delayUs, Runnable action) {
+            loop.schedule(action, delayUs, TimeUnit.MICROSECONDS);
         }
 
-        private long left(FullHttpRequest request) {
+        private long timeLeftNs(FullHttpRequest request) {
             String deadline = request.headers().get("X-Deadline", "0u");
             return Long.parseLong(deadline.substring(0, deadline.length() - 1)) * NANOS_PER_MICRO;
         }
 
-        private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String body,
+        private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String body,
                 boolean notRun) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                     Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
--- a/lab/src/main/java/passhatch/lab/soak/LoadClient.java
+++ b/lab/src/main/java/passhatch/lab/soak/LoadClient.java
@@ -10,58 +10,58 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import passhatch.lab.soak.Ledger.End;
-import passhatch.lab.soak.Ledger.Sent;
+import passhatch.lab.soak.RunObservations.RequestOutcome;
+import passhatch.lab.soak.RunObservations.Sent;
 
 /** A client of one proxy: one request at a time on a connection that it keeps, until it is told to end. */
 final class LoadClient implements Runnable {
 
     /** Past its time an answer is still waited for so long; more than the rule's half a second is lost. */
-    static final Duration ANSWER_SLACK = Duration.ofMillis(500);
-    private static final int CONNECT_MS = 1_000;
-    private static final double LEAVES = 0.04;
-    private static final double CLOSES = 0.05;
-    private static final double SHORT_OF_TIME = 0.1;
-    private static final int MOST_LINE = 1 << 12;
-    private static final int PAUSE_MS = 5;
+    static final Duration RESPONSE_SLACK = Duration.ofMillis(500);
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final double ABANDON_RATIO = 0.04;
+    private static final double CLOSE_RATIO = 0.05;
+    private static final double SHORT_DEADLINE_RATIO = 0.1;
+    private static final int MAX_LINE_CHARS = 1 << 12;
+    private static final int RECONNECT_PAUSE_MS = 5;
 
     private final ProxyInstance proxy;
-    private final Ledger ledger;
+    private final RunObservations observations;
     private final SplittableRandom random;
     private final int meanGapMs;
     private final int number;
-    private long sent;
+    private long sentRequests;
     private Socket socket;
-    private InputStream in;
-    private boolean fresh;
-    private volatile boolean ends;
+    private InputStream input;
+    private boolean isNewConnection;
+    private volatile boolean stopRequested;
 
-    LoadClient(ProxyInstance proxy, int number, long seed, int meanGapMs, Ledger ledger) {
+    LoadClient(ProxyInstance proxy, int number, long seed, int meanGapMs, RunObservations observations) {
         this.proxy = proxy;
         this.number = number;
         this.random = new SplittableRandom(seed);
         this.meanGapMs = meanGapMs;
-        this.ledger = ledger;
+        this.observations = observations;
     }
 
     /** What a backend answers to a request, by its id. */
-    static String answerTo(String id) {
+    static String responseBody(String id) {
         return "served " + id;
     }
 
-    void end() {
-        ends = true;
+    void stop() {
+        stopRequested = true;
     }
 
     @Override
     public void run() {
         try {
-            while (!ends) {
+            while (!stopRequested) {
                 TimeUnit.MILLISECONDS.sleep(1 + random.nextInt(2 * meanGapMs));
-                if (isConnected()) {
-                    request();
+                if (ensureConnected()) {
+                    sendRequest();
                 } else {
-                    TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+                    TimeUnit.MILLISECONDS.sleep(RECONNECT_PAUSE_MS);
                 }
             }
         } catch (InterruptedException e) {
@@ -70,7 +70,7 @@
         close();
     }
 
-    private boolean isConnected() {
+    private boolean ensureConnected() {
         if (socket != null) {
             return true;
         }
@@ -79,93 +79,96 @@
         }
         try {
             Socket opened = new Socket();
-            opened.connect(proxy.address(), CONNECT_MS);
+            opened.connect(proxy.address(), CONNECT_TIMEOUT_MS);
             opened.setTcpNoDelay(true);
             socket = opened;
-            in = new BufferedInputStream(opened.getInputStream());
-            fresh = true;
+            input = new BufferedInputStream(opened.getInputStream());
+            isNewConnection = true;
             return true;
         } catch (IOException refused) {
             return false;
         }
     }
 
-    private void request() throws InterruptedException {
+    private void sendRequest() throws InterruptedException {
         RequestKind kind = RequestKind.values()[random.nextInt(RequestKind.values().length)];
-        String id = String.format("%04x%04x%08x", proxy.number() + 1, number, ++sent);
-        Duration left = random.nextDouble() < SHORT_OF_TIME
+        String id = String.format("%04x%04x%08x", proxy.number() + 1, number, ++sentRequests);
+        Duration timeLeft = random.nextDouble() < SHORT_DEADLINE_RATIO
                 ? Duration.ofMillis(20 + random.nextInt(300)) : kind.deadline;
-        boolean leaves = random.nextDouble() < LEAVES;
-        boolean onFresh = fresh;
-        fresh = false;
+        boolean abandons = random.nextDouble() < ABANDON_RATIO;
+        boolean firstOnConnection = isNewConnection;
+        isNewConnection = false;
         long sentNs = System.nanoTime();
-        long deadlineNs = sentNs + left.toNanos();
-        Reply reply;
+        long deadlineNs = sentNs + timeLeft.toNanos();
+        Response response;
         try {
-            socket.getOutputStream().write(kind.message(id, left).getBytes(StandardCharsets.US_ASCII));
-            reply = leaves ? leave() : read(id, deadlineNs + ANSWER_SLACK.toNanos());
+            socket.getOutputStream().write(kind.message(id, timeLeft).getBytes(StandardCharsets.US_ASCII));
+            response = abandons ? abandon() : readResponse(id, deadlineNs + RESPONSE_SLACK.toNanos());
         } catch (IOException broken) {
-            reply = new Reply(End.NOT_TAKEN, 0);
+            response = new Response(RequestOutcome.NOT_TAKEN, 0);
         }
-        ledger.add(new Sent(id, proxy.number(), kind, onFresh, sentNs, deadlineNs, reply.end, reply.status,
+        observations.add(new Sent(id, proxy.number(), kind, firstOnConnection, sentNs, deadlineNs,
+                response.outcome, response.status,
                 System.nanoTime()));
-        if (reply.end != End.ANSWERED || reply.closes || random.nextDouble() < CLOSES) {
+        if (response.outcome != RequestOutcome.ANSWERED || response.closesConnection
+                || random.nextDouble() < CLOSE_RATIO) {
             close();
         }
     }
 
-    private Reply leave() throws InterruptedException {
+    private Response abandon() throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(random.nextInt(100));
         close();
-        return new Reply(End.LEFT, 0);
+        return new Response(RequestOutcome.LEFT, 0);
     }
 
     /** How a request ended, and whether its connection does too. */
-    private static final class Reply {
-        private final End end;
+    private static final class Response {
+        private final RequestOutcome outcome;
         private final int status;
-        private boolean closes;
+        private boolean closesConnection;
 
-        Reply(End end, int status) {
-            this.end = end;
+        Response(RequestOutcome outcome, int status) {
+            this.outcome = outcome;
             this.status = status;
         }
     }
 
-    private Reply read(String id, long untilNs) {
+    private Response readResponse(String id, long untilNs) {
         try {
-            String start = line(untilNs);
-            int status = Integer.parseInt(start.split(" ")[1]);
+            String statusLine = readLine(untilNs);
+            int status = Integer.parseInt(statusLine.split(" ")[1]);
             int length = 0;
-            boolean closes = false;
-            for (String header = line(untilNs); !header.isEmpty(); header = line(untilNs)) {
+            boolean closesConnection = false;
+            for (String header = readLine(untilNs); !header.isEmpty(); header = readLine(untilNs)) {
                 String lower = header.toLowerCase(Locale.ROOT);
                 if (lower.startsWith("content-length:")) {
                     length = Integer.parseInt(lower.substring(lower.indexOf(':') + 1).strip());
                 }
-                closes |= lower.startsWith("connection:") && lower.endsWith("close");
+                closesConnection |= lower.startsWith("connection:") && lower.endsWith("close");
             }
-            String body = new String(in.readNBytes(length), StandardCharsets.US_ASCII);
-            boolean forged = status == 200 && !body.equals(answerTo(id));
-            Reply reply = new Reply(forged ? End.FORGED : End.ANSWERED, status);
-            reply.closes = closes;
-            return reply;
-        } catch (SocketTimeoutException late) {
-            return new Reply(End.NO_ANSWER, 0);
+            String body = new String(input.readNBytes(length), StandardCharsets.US_ASCII);
+            boolean forged = status == 200 && !body.equals(responseBody(id));
+            Response response = new Response(forged ? RequestOutcome.FORGED : RequestOutcome.ANSWERED,
+                    status);
+            response.closesConnection = closesConnection;
+            return response;
+        } catch (SocketTimeoutException timedOut) {
+            return new Response(RequestOutcome.NO_ANSWER, 0);
         } catch (IOException ended) {
-            return new Reply(End.CLOSED, 0);
+            return new Response(RequestOutcome.CLOSED, 0);
         }
     }
 
-    private String line(long untilNs) throws IOException {
+    private String readLine(long untilNs) throws IOException {
         StringBuilder line = new StringBuilder();
-        while (line.length() < MOST_LINE) {
+        while (line.length() < MAX_LINE_CHARS) {
             long leftMs = TimeUnit.NANOSECONDS.toMillis(untilNs - System.nanoTime());
-            if (leftMs <= 0 && in.available() == 0) {
+            if (leftMs <= 0 && input.available() == 0) {
                 throw new SocketTimeoutException();
             }
             socket.setSoTimeout((int) Math.max(1, leftMs));
-            int next = in.read();
+            int next = input.read();
             if (next < 0) {
                 throw new IOException("the connection ended");
             }
@@ -183,7 +186,7 @@
         if (socket != null) {
             try {
                 socket.close();
-            } catch (IOException closed) {
+            } catch (IOException ignored) {
                 // It is gone either way.
             }
             socket = null;
--- a/lab/src/main/java/passhatch/lab/soak/Oracle.java
+++ b/lab/src/main/java/passhatch/lab/soak/Oracle.java
@@ -5,10 +5,10 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import passhatch.lab.soak.Ledger.Arrival;
-import passhatch.lab.soak.Ledger.End;
-import passhatch.lab.soak.Ledger.Removal;
-import passhatch.lab.soak.Ledger.Sent;
+import passhatch.lab.soak.RunObservations.Arrival;
+import passhatch.lab.soak.RunObservations.RequestOutcome;
+import passhatch.lab.soak.RunObservations.Removal;
+import passhatch.lab.soak.RunObservations.Sent;
 
 /** Holds what was seen in a run against the rules of the protocol, with the slack that its page gives. */
 public final class Oracle {
@@ -19,68 +19,69 @@
     }
 
     /** One break of a rule. */
-    public record Violation(Rule rule, String what) {
+    public record Violation(Rule rule, String description) {
         @Override
         public String toString() {
-            return rule + ": " + what;
+            return rule + ": " + description;
         }
     }
 
     /** What discovery has to tell counts as told after this at the latest. */
-    static final Duration TOLD = Duration.ofSeconds(6);
-    private static final Duration LEFT_SLACK = Duration.ofMillis(100);
+    static final Duration MAX_NOTIFICATION_DELAY = Duration.ofSeconds(6);
+    private static final Duration ABANDON_SLACK = Duration.ofMillis(100);
     private static final Duration DEADLINE_SLACK = Duration.ofMillis(150);
     /** The clients, the backends and this check share the machine with the proxies. */
     private static final Duration MACHINE_SLACK = Duration.ofMillis(250);
 
-    private final Ledger ledger;
-    private final Map<Integer, List<Long>> kills;
-    private final List<Violation> found = new ArrayList<>();
+    private final RunObservations observations;
+    private final Map<Integer, List<Long>> killTimesNs;
+    private final List<Violation> violations = new ArrayList<>();
 
     /**
      * An oracle for one run.
      *
-     * @param kills when each proxy was killed: what it held then is not its loss
+     * @param killTimesNs when each proxy was killed: what it held then is not its loss
      */
-    Oracle(Ledger ledger, Map<Integer, List<Long>> kills) {
-        this.ledger = ledger;
-        this.kills = kills;
+    Oracle(RunObservations observations, Map<Integer, List<Long>> killTimesNs) {
+        this.observations = observations;
+        this.killTimesNs = killTimesNs;
     }
 
     /** All breaks of rules on requests and servers. */
     List<Violation> check() {
-        for (Sent request : ledger.requests()) {
-            List<Arrival> arrivals = ledger.arrivals(request.id()).stream()
+        for (Sent request : observations.requests()) {
+            List<Arrival> arrivals = observations.arrivals(request.id()).stream()
                     .sorted(Comparator.comparingLong(Arrival::atNs)).toList();
-            checkAnswered(request, arrivals);
+            checkLost(request, arrivals);
             checkRepeats(request, arrivals);
             arrivals.forEach(arrival -> checkTimes(request, arrival));
         }
-        List<Removal> removals = ledger.removals();
-        for (Arrival arrival : ledger.allArrivals()) {
+        List<Removal> removals = observations.removals();
+        for (Arrival arrival : observations.allArrivals()) {
             removals.stream().filter(removal -> removal.server().equals(arrival.server()))
                     .forEach(removal -> checkRemoval(removal, arrival));
         }
-        return List.copyOf(found);
+        return List.copyOf(violations);
     }
 
-    private void add(Rule rule, String what) {
-        found.add(new Violation(rule, what));
+    private void report(Rule rule, String description) {
+        violations.add(new Violation(rule, description));
     }
 
     private boolean wasKilled(Sent request) {
-        return kills.getOrDefault(request.proxy(), List.of()).stream()
-                .anyMatch(at -> at >= request.sentNs() && at <= request.endedNs() + MACHINE_SLACK.toNanos());
+        return killTimesNs.getOrDefault(request.proxy(), List.of()).stream()
+                .anyMatch(killedNs -> killedNs >= request.sentNs()
+                && killedNs <= request.endedNs() + MACHINE_SLACK.toNanos());
     }
 
-    private void checkAnswered(Sent request, List<Arrival> arrivals) {
+    private void checkLost(Sent request, List<Arrival> arrivals) {
         boolean lost = switch (request.end()) {
             case NO_ANSWER, FORGED -> true;
             case CLOSED -> request.firstOnConnection() || !arrivals.isEmpty();
             case ANSWERED, LEFT, NOT_TAKEN -> false;
         };
         if (lost && !wasKilled(request)) {
-            add(Rule.LOST, request + " arrived " + arrivals);
+            report(Rule.LOST, request + " arrived " + arrivals);
         }
     }
 
@@ -88,11 +89,11 @@
         Arrival first = null;
         for (Arrival arrival : arrivals) {
             if (first != null && request.kind() == RequestKind.UNSAFE) {
-                add(Rule.DUPLICATE, request + " arrived " + arrivals);
+                report(Rule.DUPLICATE, request + " arrived " + arrivals);
             }
             if (first != null && request.kind() == RequestKind.KEYED && arrival.atNs() - first.atNs()
                     > RequestKind.DEDUP_WINDOW.plus(MACHINE_SLACK).toNanos()) {
-                add(Rule.DUPLICATE, request + " arrived past its window " + arrivals);
+                report(Rule.DUPLICATE, request + " arrived past its window " + arrivals);
             }
             if (first == null && arrival.mayHaveRun()) {
                 first = arrival;
@@ -102,35 +103,36 @@
 
     private void checkTimes(Sent request, Arrival arrival) {
         long afterEndNs = arrival.atNs() - request.endedNs() - MACHINE_SLACK.toNanos();
-        if (request.end() == End.LEFT && afterEndNs > LEFT_SLACK.toNanos()) {
-            add(Rule.AFTER_CLIENT_LEFT, request + " got " + arrival);
+        if (request.end() == RequestOutcome.LEFT && afterEndNs > ABANDON_SLACK.toNanos()) {
+            report(Rule.AFTER_CLIENT_LEFT, request + " got " + arrival);
         }
-        if (request.end() == End.ANSWERED && afterEndNs > 0) {
-            add(Rule.AFTER_ANSWER, request + " got " + arrival);
+        if (request.end() == RequestOutcome.ANSWERED && afterEndNs > 0) {
+            report(Rule.AFTER_ANSWER, request + " got " + arrival);
         }
-        long mostNs = request.deadlineNs() - arrival.atNs() + DEADLINE_SLACK.plus(MACHINE_SLACK).toNanos();
-        if (arrival.leftNs() > mostNs) {
-            add(Rule.DEADLINE, request + " got " + arrival);
+        long maxLeftNs = request.deadlineNs() - arrival.atNs() + DEADLINE_SLACK.plus(MACHINE_SLACK).toNanos();
+        if (arrival.leftNs() > maxLeftNs) {
+            report(Rule.DEADLINE, request + " got " + arrival);
         }
     }
 
     private void checkRemoval(Removal removal, Arrival arrival) {
-        long boundNs = toldNs(removal) + ProxyInstance.DRAIN_GRACE.plus(MACHINE_SLACK).toNanos();
-        if (arrival.atNs() > boundNs && arrival.atNs() < removal.untilNs()) {
-            Duration since = Duration.ofNanos(arrival.atNs() - removal.fromNs());
-            add(Rule.DRAIN, arrival + " came " + since.toMillis() + " ms after the removal");
+        long lastAllowedNs = notificationDeadlineNs(removal)
+                + ProxyInstance.DRAIN_GRACE.plus(MACHINE_SLACK).toNanos();
+        if (arrival.atNs() > lastAllowedNs && arrival.atNs() < removal.untilNs()) {
+            Duration sinceRemoval = Duration.ofNanos(arrival.atNs() - removal.fromNs());
+            report(Rule.DRAIN, arrival + " came " + sinceRemoval.toMillis() + " ms after the removal");
         }
     }
 
     /** When a removal counts as told: a span in which discovery cannot be reached puts it off. */
-    private long toldNs(Removal removal) {
-        long toldNs = removal.fromNs() + TOLD.toNanos();
-        for (Removal outage : ledger.outages().stream()
+    private long notificationDeadlineNs(Removal removal) {
+        long deadlineNs = removal.fromNs() + MAX_NOTIFICATION_DELAY.toNanos();
+        for (Removal outage : observations.outages().stream()
                 .sorted(Comparator.comparingLong(Removal::fromNs)).toList()) {
-            if (outage.fromNs() < toldNs && outage.untilNs() > removal.fromNs()) {
-                toldNs = outage.untilNs() + TOLD.toNanos();
+            if (outage.fromNs() < deadlineNs && outage.untilNs() > removal.fromNs()) {
+                deadlineNs = outage.untilNs() + MAX_NOTIFICATION_DELAY.toNanos();
             }
         }
-        return toldNs;
+        return deadlineNs;
     }
 }
--- a/lab/src/main/java/passhatch/lab/soak/RequestKind.java
+++ b/lab/src/main/java/passhatch/lab/soak/RequestKind.java
@@ -28,26 +28,27 @@
         this.deadline = deadline;
     }
 
-    private static long micros(Duration span) {
-        return span.toNanos() / 1_000;
+    private static long toMicroseconds(Duration duration) {
+        return duration.toNanos() / 1_000;
     }
 
     /** The class as a proxy's settings have it. */
     Map<String, Object> settings() {
         Map<String, Object> json = new HashMap<>(Map.of("name", path, "effect", effect,
-                "goalTimeUs", micros(deadline) / 2, "deadlineUs", micros(deadline), "worth", 1,
+                "goalTimeUs", toMicroseconds(deadline) / 2, "deadlineUs", toMicroseconds(deadline), "worth",
+                1,
                 "lateWorth", 0.5, "group", "all"));
         if (this == KEYED) {
-            json.put("dedupWindowUs", micros(DEDUP_WINDOW));
+            json.put("dedupWindowUs", toMicroseconds(DEDUP_WINDOW));
         }
         return json;
     }
 
     /** The head of a request without a body, which is all of it. */
-    String message(String id, Duration left) {
-        String start = this == READ ? "GET" : "POST";
-        return start + " /" + path + "/1 HTTP/1.1\r\nHost: soak\r\nX-Request-Id: " + id + "\r\nX-Deadline: "
-                + micros(left) + "u\r\n" + (this == READ ? "" : "Content-Length: 0\r\n")
+    String message(String id, Duration timeLeft) {
+        String method = this == READ ? "GET" : "POST";
+        return method + " /" + path + "/1 HTTP/1.1\r\nHost: soak\r\nX-Request-Id: " + id + "\r\nX-Deadline: "
+                + toMicroseconds(timeLeft) + "u\r\n" + (this == READ ? "" : "Content-Length: 0\r\n")
                 + (this == KEYED ? "Idempotency-Key: " + id + "\r\n" : "") + "\r\n";
     }
 }
--- a/lab/src/main/java/passhatch/lab/soak/Ledger.java
+++ b/lab/src/main/java/passhatch/lab/soak/RunObservations.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /** What clients, backends and discovery saw in a run; times are {@link System#nanoTime}. */
-final class Ledger {
+final class RunObservations {
 
     /** How a request ended for its client. */
-    enum End {
+    enum RequestOutcome {
         /** A whole answer that the protocol allows. */
         ANSWERED,
         /** A 200 that is not the answer of a backend to this request. */
@@ -28,10 +28,10 @@
      * A request as its client saw it.
      *
      * @param firstOnConnection whether its connection was new
-     * @param endedNs when it ended, for {@link End#LEFT} when the connection was closed
+     * @param endedNs when it ended, for {@link RequestOutcome#LEFT} when the connection was closed
      */
     record Sent(String id, int proxy, RequestKind kind, boolean firstOnConnection, long sentNs,
-            long deadlineNs, End end, int status, long endedNs) { }
+            long deadlineNs, RequestOutcome end, int status, long endedNs) { }
 
     /** An attempt as a backend saw it, with the time that it was told is left. */
     record Arrival(String id, String server, long atNs, long leftNs, boolean mayHaveRun) { }
@@ -59,16 +59,16 @@
 
     /** The server is listed again: its last removal ends. */
     void relisted(String server, long atNs) {
-        Removal last = null;
+        Removal latest = null;
         for (Removal removal : removals) {
-            last = removal.server().equals(server) ? removal : last;
+            latest = removal.server().equals(server) ? removal : latest;
         }
-        if (last != null && removals.remove(last)) {
-            removals.add(new Removal(server, last.fromNs(), atNs));
+        if (latest != null && removals.remove(latest)) {
+            removals.add(new Removal(server, latest.fromNs(), atNs));
         }
     }
 
-    void outage(long fromNs, long untilNs) {
+    void addOutage(long fromNs, long untilNs) {
         outages.add(new Removal("", fromNs, untilNs));
     }
 
@@ -86,8 +86,8 @@
 
     /** The attempts of a request, in the order of their arrival. */
     List<Arrival> arrivals(String id) {
-        ConcurrentLinkedQueue<Arrival> of = arrivals.get(id);
-        return of == null ? List.of() : List.copyOf(of);
+        ConcurrentLinkedQueue<Arrival> recorded = arrivals.get(id);
+        return recorded == null ? List.of() : List.copyOf(recorded);
     }
 
     List<Arrival> allArrivals() {
--- a/lab/src/main/java/passhatch/lab/soak/SoakRun.java
+++ b/lab/src/main/java/passhatch/lab/soak/SoakRun.java
@@ -25,38 +25,39 @@
 import passhatch.lab.discovery.Endpoint;
 import passhatch.lab.discovery.Endpoint.Status;
 import passhatch.lab.soak.FaultPlan.Fault;
-import passhatch.lab.soak.Ledger.Removal;
+import passhatch.lab.soak.RunObservations.Removal;
 import passhatch.lab.soak.Oracle.Rule;
 import passhatch.lab.soak.Oracle.Violation;
 
 /** One run: starts all parts, plays a plan of faults under load, and holds the outcome against the rules. */
 public final class SoakRun implements Closeable {
 
-    private static final int CLIENTS_OF_A_PROXY = 3;
+    private static final int CLIENTS_PER_PROXY = 3;
     private static final int MEAN_GAP_MS = 40;
-    private static final Duration READY = Duration.ofSeconds(30);
-    private static final Duration READY_AGAIN = Duration.ofSeconds(10);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration RESTART_TIMEOUT = Duration.ofSeconds(10);
     /** A call to discovery may be open when an outage begins, and is given up after this. */
-    private static final int WORKERS = 24;
-    private static final long HOUR_S = 3_600;
-    private static final int SHIM_PERMILLE = 300;
+    private static final int FAULT_THREADS = 24;
+    private static final long LARGE_CLOCK_STEP_S = 3_600;
+    private static final int FAULT_PERMILLE = 300;
     private static final int ALL_PERMILLE = 1_000;
     /** SIGKILL follows SIGTERM no sooner than the longest deadline and this. */
     private static final Duration KILL_MARGIN = Duration.ofMillis(700);
     /** What in a log tells of a fault in the program itself, with the first lines of its trace. */
-    private static final Pattern FAULT_IN_PROGRAM = Pattern.compile(
+    private static final Pattern SELF_REPORTED_FAULT = Pattern.compile(
             "(?m)^.* (BUG|VIOLATION) .*$(\\R.*){0,8}");
     /** Part of the backends that may be away at a time. */
-    private static final double MOST_AWAY = 0.4;
+    private static final double MAX_UNAVAILABLE_RATIO = 0.4;
 
     /**
      * The size of a run.
      *
      * @param proxies real processes
-     * @param asked whether discovery has to be asked for changes
+     * @param discoveryOnRequest whether discovery has to be asked for changes
      * @param costs of calls to discovery
      */
-    public record Size(int proxies, int backends, Duration length, double faultsPerSecond, boolean asked,
+    public record Size(int proxies, int backends, Duration duration, double faultsPerSecond,
+            boolean discoveryOnRequest,
             CallCosts costs) { }
 
     /** What came of a run. */
@@ -72,15 +73,15 @@
 
     private final long seed;
     private final Size size;
-    private final Ledger ledger = new Ledger();
+    private final RunObservations observations = new RunObservations();
     private final FaultyBackends backends;
     private final List<DiscoveryServer> discoveries = new ArrayList<>();
     private final List<ProxyInstance> proxies = new ArrayList<>();
     private final List<LoadClient> clients = new ArrayList<>();
     private final List<Thread> clientThreads = new ArrayList<>();
-    private final Map<Integer, List<Long>> kills = new ConcurrentHashMap<>();
+    private final Map<Integer, List<Long>> killTimesNs = new ConcurrentHashMap<>();
     private final List<Violation> violations = new CopyOnWriteArrayList<>();
-    private final ScheduledExecutorService workers = Executors.newScheduledThreadPool(WORKERS);
+    private final ScheduledExecutorService faultExecutor = Executors.newScheduledThreadPool(FAULT_THREADS);
     /** Guarded by this. */
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private final Set<Integer> busyBackends = new HashSet<>();
@@ -92,27 +93,31 @@
      * Starts the stand-ins and describes the proxies.
      *
      * @param root the project's folder, with the service built
-     * @param folder for configurations and logs
+     * @param workingDirectory for configurations and logs
      */
-    public SoakRun(Path root, Path folder, long seed, Size size) throws IOException, InterruptedException {
+    public SoakRun(Path root, Path workingDirectory, long seed, Size size) throws IOException,
+            InterruptedException {
         this.seed = seed;
         this.size = size;
-        this.backends = new FaultyBackends(size.backends(), seed, ledger);
-        Path base = Files.createDirectories(folder).toAbsolutePath();
-        Path shim = FaultShim.compile(root, base);
+        this.backends = new FaultyBackends(size.backends(), seed, observations);
+        Path directory = Files.createDirectories(workingDirectory).toAbsolutePath();
+        Path shim = FaultShim.compile(root, directory);
         for (int i = 0; i < size.backends(); i++) {
-            InetSocketAddress at = backends.address(i);
+            InetSocketAddress address = backends.address(i);
             endpoints.put(backends.name(i), Endpoint.serving(backends.name(i),
-                    FaultyBackends.HOST + ":" + at.getPort(), ProxyInstance.ZONE, ProxyInstance.MODEL, 0));
+                    FaultyBackends.HOST + ":" + address.getPort(), ProxyInstance.ZONE,
+                    ProxyInstance.MACHINE_TYPE, 0));
         }
         for (int i = 0; i < 2; i++) {
             discoveries.add(new DiscoveryServer(endpoints.values(), size.costs(), false,
                     DiscoveryListener.NONE));
         }
         for (int i = 0; i < size.proxies(); i++) {
-            proxies.add(new ProxyInstance(root.toAbsolutePath(), base, i, size.proxies(), size.asked(),
-                    discoveries.get(0).address(), new FaultShim(shim, base.resolve("n" + i + ".faults"))));
-            proxies.get(i).knows(known());
+            proxies.add(new ProxyInstance(root.toAbsolutePath(), directory, i, size.proxies(),
+                    size.discoveryOnRequest(),
+                    discoveries.get(0).address(),
+                    new FaultShim(shim, directory.resolve("n" + i + ".faults"))));
+            proxies.get(i).setInitialEndpoints(listedEndpoints());
         }
     }
 
@@ -122,28 +127,28 @@
             proxy.start();
         }
         for (ProxyInstance proxy : proxies) {
-            if (!proxy.awaitReady(READY)) {
+            if (!proxy.awaitReady(START_TIMEOUT)) {
                 violations.add(new Violation(Rule.NOT_READY, "n" + proxy.number() + " at the start"));
             }
         }
     }
 
     /** Plays the seed's plan under load; what came of it. */
-    public Report play() throws IOException, InterruptedException {
-        FaultPlan plan = FaultPlan.draw(seed, (int) size.length().toMillis(), size.faultsPerSecond());
-        load();
-        plan.faults().forEach(fault -> workers.schedule(() -> strike(fault), fault.atMs(),
+    public Report execute() throws IOException, InterruptedException {
+        FaultPlan plan = FaultPlan.generate(seed, (int) size.duration().toMillis(), size.faultsPerSecond());
+        startLoad();
+        plan.faults().forEach(fault -> faultExecutor.schedule(() -> inject(fault), fault.startMs(),
                 TimeUnit.MILLISECONDS));
-        TimeUnit.MILLISECONDS.sleep(size.length().toMillis());
+        TimeUnit.MILLISECONDS.sleep(size.duration().toMillis());
         return finish(plan.faults().size());
     }
 
     /** Begins to send requests to all proxies. */
-    public void load() {
+    public void startLoad() {
         for (ProxyInstance proxy : proxies) {
-            for (int i = 0; i < CLIENTS_OF_A_PROXY; i++) {
+            for (int i = 0; i < CLIENTS_PER_PROXY; i++) {
                 LoadClient client = new LoadClient(proxy, i, seed * 31 + proxy.number() * 7L + i, MEAN_GAP_MS,
-                        ledger);
+                        observations);
                 clients.add(client);
                 Thread thread = new Thread(client, "client-" + proxy.number() + "-" + i);
                 thread.setDaemon(true);
@@ -154,39 +159,40 @@
     }
 
     /** Ends the load and checks all that was seen. */
-    public Report finish(int faults) throws IOException, InterruptedException {
-        clients.forEach(LoadClient::end);
+    public Report finish(int faultCount) throws IOException, InterruptedException {
+        clients.forEach(LoadClient::stop);
         for (Thread thread : clientThreads) {
-            thread.join(READY.toMillis());
+            thread.join(START_TIMEOUT.toMillis());
         }
-        workers.shutdown();
-        workers.awaitTermination(READY.toSeconds(), TimeUnit.SECONDS);
+        faultExecutor.shutdown();
+        faultExecutor.awaitTermination(START_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         List<Violation> all = new ArrayList<>(violations);
-        all.addAll(new Oracle(ledger, kills).check());
+        all.addAll(new Oracle(observations, killTimesNs).check());
         for (ProxyInstance proxy : proxies) {
             if (!proxy.isAlive()) {
                 all.add(new Violation(Rule.CRASH, "n" + proxy.number() + " does not run at the end"));
             }
-            FAULT_IN_PROGRAM.matcher(proxy.logs()).results().forEach(line ->
+            SELF_REPORTED_FAULT.matcher(proxy.logs()).results().forEach(line ->
                     all.add(new Violation(Rule.SELF_CHECK, "n" + proxy.number() + ": " + line.group())));
         }
-        int answered = (int) ledger.requests().stream().filter(r -> r.end() == Ledger.End.ANSWERED).count();
-        int served = (int) ledger.requests().stream().filter(r -> r.status() == 200).count();
-        return new Report(seed, ledger.requests().size(), answered, served, faults, all);
+        int answered = (int) observations.requests().stream()
+                .filter(r -> r.end() == RunObservations.RequestOutcome.ANSWERED).count();
+        int served = (int) observations.requests().stream().filter(r -> r.status() == 200).count();
+        return new Report(seed, observations.requests().size(), answered, served, faultCount, all);
     }
 
     // ---- what tests and faults do
 
     /** Removes a backend from the list, or has it drain; it still answers. */
-    public void remove(int backend, Status how) {
-        list(backend, how, 0);
+    public void removeBackend(int backend, Status status) {
+        setStatus(backend, status, 0);
     }
 
     /** All calls to socket of every proxy fail for the length, and all watches are reset meanwhile. */
-    void socketsFail(Duration length) throws InterruptedException {
+    void failSockets(Duration duration) throws InterruptedException {
         proxies.forEach(proxy -> proxy.shim().failSocket(ALL_PERMILLE, FaultShim.Errno.ENFILE));
         discovery().resetWatches();
-        TimeUnit.MILLISECONDS.sleep(length.toMillis());
+        TimeUnit.MILLISECONDS.sleep(duration.toMillis());
         proxies.forEach(proxy -> proxy.shim().failSocket(0, FaultShim.Errno.ENFILE));
     }
 
@@ -212,76 +218,78 @@
     }
 
     /** Has calls to discovery fare so for the length, which counts as an outage. */
-    public void discoveryFails(DiscoveryServer.Mode mode, Duration length) throws InterruptedException {
+    public void failDiscovery(DiscoveryServer.Mode mode, Duration duration) throws InterruptedException {
         long fromNs = System.nanoTime();
         if (mode == DiscoveryServer.Mode.FAILING) {
             discovery().resetWatches();
         }
         discovery().mode(mode);
-        TimeUnit.MILLISECONDS.sleep(length.toMillis());
+        TimeUnit.MILLISECONDS.sleep(duration.toMillis());
         discovery().mode(DiscoveryServer.Mode.SERVING);
-        ledger.outage(fromNs, System.nanoTime());
+        observations.addOutage(fromNs, System.nanoTime());
     }
 
-    private synchronized long list(int backend, Status status, long sinceMs) {
-        Endpoint before = endpoints.get(backends.name(backend));
-        Endpoint now = new Endpoint(before.name(), before.address(), before.zone(), before.type(),
-                before.group(), status, before.weight(), sinceMs == 0 ? before.sinceMs() : sinceMs);
-        endpoints.put(now.name(), now);
-        discoveries.forEach(server -> server.change(List.of(now)));
+    private synchronized long setStatus(int backend, Status status, long startedMs) {
+        Endpoint previous = endpoints.get(backends.name(backend));
+        Endpoint changed = new Endpoint(previous.name(), previous.address(), previous.zone(),
+                previous.machineType(),
+                previous.cell(), status, previous.weight(),
+                startedMs == 0 ? previous.startedMs() : startedMs);
+        endpoints.put(changed.name(), changed);
+        discoveries.forEach(server -> server.change(List.of(changed)));
         long atNs = System.nanoTime();
         if (status != Status.SERVING) {
-            ledger.add(new Removal(now.name(), atNs, Long.MAX_VALUE));
+            observations.add(new Removal(changed.name(), atNs, Long.MAX_VALUE));
         } else {
-            ledger.relisted(now.name(), atNs);
+            observations.relisted(changed.name(), atNs);
         }
         return atNs;
     }
 
-    private synchronized List<Map<String, Object>> known() {
-        return endpoints.values().stream().filter(e -> e.status() != Status.DELETED).map(Endpoint::json)
+    private synchronized List<Map<String, Object>> listedEndpoints() {
+        return endpoints.values().stream().filter(e -> e.status() != Status.DELETED).map(Endpoint::toJson)
                 .toList();
     }
 
     /** Takes a backend for a fault; false where it has one, or too many are away. */
-    private synchronized boolean takeBackend(int backend) {
-        return busyBackends.size() < MOST_AWAY * size.backends() && busyBackends.add(backend);
+    private synchronized boolean reserveBackend(int backend) {
+        return busyBackends.size() < MAX_UNAVAILABLE_RATIO * size.backends() && busyBackends.add(backend);
     }
 
-    private synchronized void freeBackend(int backend) {
+    private synchronized void releaseBackend(int backend) {
         busyBackends.remove(backend);
     }
 
-    private synchronized boolean takeProxy(int proxy) {
+    private synchronized boolean reserveProxy(int proxy) {
         return busyProxies.size() < size.proxies() / 2 && busyProxies.add(proxy);
     }
 
-    private synchronized void freeProxy(int proxy) {
+    private synchronized void releaseProxy(int proxy) {
         busyProxies.remove(proxy);
     }
 
-    private synchronized boolean takeDiscovery() {
+    private synchronized boolean reserveDiscovery() {
         boolean free = !discoveryBusy;
         discoveryBusy = true;
         return free;
     }
 
-    private synchronized void freeDiscovery() {
+    private synchronized void releaseDiscovery() {
         discoveryBusy = false;
     }
 
-    private void strike(Fault fault) {
+    private void inject(Fault fault) {
         try {
             switch (fault.kind()) {
                 case DISCOVERY_DOWN, DISCOVERY_FAILING, DISCOVERY_SILENT, DISCOVERY_MOVED ->
-                        strikeDiscovery(fault);
-                case WATCHES_SILENT -> discovery().silence(Integer.MAX_VALUE);
+                        injectDiscoveryFault(fault);
+                case WATCHES_SILENT -> discovery().silenceWatches(Integer.MAX_VALUE);
                 case WATCHES_RESET -> discovery().resetWatches();
                 case WATCHES_END -> discovery().endWatches();
                 case BACKEND_CRASHED, BACKEND_REMOVED, BACKEND_DRAINED, BACKEND_HANGS, BACKEND_ERRS,
-                        BACKEND_RESETS, BACKEND_FULL -> strikeBackend(fault);
+                        BACKEND_RESETS, BACKEND_FULL -> injectBackendFault(fault);
                 case PROXY_KILLED, PROXY_TERMINATED, PROXY_PAUSED, CLOCK_STEPPED, ACCEPT_FAILS,
-                        CONNECT_FAILS, SOCKET_FAILS -> strikeProxy(fault);
+                        CONNECT_FAILS, SOCKET_FAILS -> injectProxyFault(fault);
                 default -> throw new IllegalStateException(fault.toString());
             }
         } catch (IOException e) {
@@ -291,56 +299,56 @@
         }
     }
 
-    private void strikeDiscovery(Fault fault) throws IOException, InterruptedException {
-        if (!takeDiscovery()) {
+    private void injectDiscoveryFault(Fault fault) throws IOException, InterruptedException {
+        if (!reserveDiscovery()) {
             return;
         }
         try {
             switch (fault.kind()) {
                 case DISCOVERY_DOWN -> {
                     long fromNs = System.nanoTime();
-                    discovery().goDown();
-                    TimeUnit.MILLISECONDS.sleep(fault.lengthMs());
-                    discovery().comeBack(fault.choice() % 2 == 0);
-                    ledger.outage(fromNs, System.nanoTime());
+                    discovery().crash();
+                    TimeUnit.MILLISECONDS.sleep(fault.durationMs());
+                    discovery().restart(fault.randomChoice() % 2 == 0);
+                    observations.addOutage(fromNs, System.nanoTime());
                 }
-                case DISCOVERY_FAILING -> discoveryFails(DiscoveryServer.Mode.FAILING,
-                        Duration.ofMillis(fault.lengthMs()));
-                case DISCOVERY_SILENT -> discoveryFails(DiscoveryServer.Mode.SILENT,
-                        Duration.ofMillis(fault.lengthMs()));
+                case DISCOVERY_FAILING -> failDiscovery(DiscoveryServer.Mode.FAILING,
+                        Duration.ofMillis(fault.durationMs()));
+                case DISCOVERY_SILENT -> failDiscovery(DiscoveryServer.Mode.SILENT,
+                        Duration.ofMillis(fault.durationMs()));
                 default -> {
                     long fromNs = System.nanoTime();
                     discoveryInUse = 1 - discoveryInUse;
                     for (ProxyInstance proxy : proxies) {
-                        proxy.moveTo(discovery().address());
+                        proxy.changeDiscovery(discovery().address());
                     }
-                    ledger.outage(fromNs, System.nanoTime());
+                    observations.addOutage(fromNs, System.nanoTime());
                 }
             }
         } finally {
-            freeDiscovery();
+            releaseDiscovery();
         }
     }
 
-    private void strikeBackend(Fault fault) throws InterruptedException {
-        int backend = fault.choice() % size.backends();
-        if (!takeBackend(backend)) {
+    private void injectBackendFault(Fault fault) throws InterruptedException {
+        int backend = fault.randomChoice() % size.backends();
+        if (!reserveBackend(backend)) {
             return;
         }
         try {
             switch (fault.kind()) {
                 case BACKEND_CRASHED -> {
                     backends.crash(backend);
-                    list(backend, Status.DELETED, 0);
-                    TimeUnit.MILLISECONDS.sleep(fault.lengthMs());
+                    setStatus(backend, Status.DELETED, 0);
+                    TimeUnit.MILLISECONDS.sleep(fault.durationMs());
                     backends.restart(backend);
-                    list(backend, Status.SERVING, System.currentTimeMillis());
+                    setStatus(backend, Status.SERVING, System.currentTimeMillis());
                 }
                 case BACKEND_REMOVED, BACKEND_DRAINED -> {
-                    list(backend, fault.kind() == FaultPlan.Kind.BACKEND_REMOVED ? Status.DELETED
+                    setStatus(backend, fault.kind() == FaultPlan.Kind.BACKEND_REMOVED ? Status.DELETED
                             : Status.DRAINING, 0);
-                    TimeUnit.MILLISECONDS.sleep(fault.lengthMs());
-                    list(backend, Status.SERVING, System.currentTimeMillis());
+                    TimeUnit.MILLISECONDS.sleep(fault.durationMs());
+                    setStatus(backend, Status.SERVING, System.currentTimeMillis());
                 }
                 default -> {
                     backends.mode(backend, switch (fault.kind()) {
@@ -349,78 +357,78 @@
                         case BACKEND_RESETS -> FaultyBackends.Mode.RESETTING;
                         default -> FaultyBackends.Mode.FULL;
                     });
-                    TimeUnit.MILLISECONDS.sleep(fault.lengthMs());
+                    TimeUnit.MILLISECONDS.sleep(fault.durationMs());
                     backends.mode(backend, FaultyBackends.Mode.SERVING);
                 }
             }
         } finally {
-            freeBackend(backend);
+            releaseBackend(backend);
         }
     }
 
-    private void strikeProxy(Fault fault) throws IOException, InterruptedException {
-        ProxyInstance proxy = proxies.get(fault.choice() % proxies.size());
-        if (!takeProxy(proxy.number())) {
+    private void injectProxyFault(Fault fault) throws IOException, InterruptedException {
+        ProxyInstance proxy = proxies.get(fault.randomChoice() % proxies.size());
+        if (!reserveProxy(proxy.number())) {
             return;
         }
         try {
             switch (fault.kind()) {
-                case PROXY_KILLED -> restart(proxy, fault.lengthMs());
+                case PROXY_KILLED -> restart(proxy, fault.durationMs());
                 case PROXY_TERMINATED -> {
-                    proxy.sendNoNewClients();
+                    proxy.stopNewConnections();
                     TimeUnit.MILLISECONDS.sleep(MEAN_GAP_MS);
                     proxy.signal("TERM");
                     TimeUnit.MILLISECONDS.sleep(RequestKind.LONGEST_DEADLINE.plus(KILL_MARGIN).toMillis());
-                    restart(proxy, fault.lengthMs());
+                    restart(proxy, fault.durationMs());
                 }
                 case PROXY_PAUSED -> {
                     proxy.signal("STOP");
-                    TimeUnit.MILLISECONDS.sleep(fault.lengthMs());
+                    TimeUnit.MILLISECONDS.sleep(fault.durationMs());
                     proxy.signal("CONT");
                 }
-                default -> strikeCalls(proxy, fault);
+                default -> injectSystemCallFault(proxy, fault);
             }
         } finally {
-            freeProxy(proxy.number());
+            releaseProxy(proxy.number());
         }
     }
 
-    private void strikeCalls(ProxyInstance proxy, Fault fault) throws InterruptedException {
+    private void injectSystemCallFault(ProxyInstance proxy, Fault fault) throws InterruptedException {
         FaultShim.Errno[] errors = FaultShim.Errno.values();
-        FaultShim.Errno error = errors[fault.choice() / size.proxies() % errors.length];
+        FaultShim.Errno error = errors[fault.randomChoice() / size.proxies() % errors.length];
         switch (fault.kind()) {
             case CLOCK_STEPPED -> proxy.shim().stepClock(Duration.ofSeconds(
-                    switch (fault.choice() % 4) {
-                        case 0 -> HOUR_S;
-                        case 1 -> -HOUR_S;
+                    switch (fault.randomChoice() % 4) {
+                        case 0 -> LARGE_CLOCK_STEP_S;
+                        case 1 -> -LARGE_CLOCK_STEP_S;
                         case 2 -> 5;
                         default -> -5;
                     }));
-            case ACCEPT_FAILS -> proxy.shim().failAccept(SHIM_PERMILLE, error);
-            case CONNECT_FAILS -> proxy.shim().failConnect(SHIM_PERMILLE, error);
-            default -> proxy.shim().failSocket(SHIM_PERMILLE, error);
+            case ACCEPT_FAILS -> proxy.shim().failAccept(FAULT_PERMILLE, error);
+            case CONNECT_FAILS -> proxy.shim().failConnect(FAULT_PERMILLE, error);
+            default -> proxy.shim().failSocket(FAULT_PERMILLE, error);
         }
-        TimeUnit.MILLISECONDS.sleep(fault.lengthMs());
+        TimeUnit.MILLISECONDS.sleep(fault.durationMs());
         proxy.shim().failAccept(0, error);
         proxy.shim().failConnect(0, error);
         proxy.shim().failSocket(0, error);
     }
 
     private void restart(ProxyInstance proxy, int pauseMs) throws IOException, InterruptedException {
-        boolean ran = proxy.isAlive();
+        boolean wasAlive = proxy.isAlive();
         proxy.kill();
-        kills.computeIfAbsent(proxy.number(), n -> new CopyOnWriteArrayList<>()).add(proxy.killedNs());
+        killTimesNs.computeIfAbsent(proxy.number(), n -> new CopyOnWriteArrayList<>()).add(proxy.killedNs());
         TimeUnit.MILLISECONDS.sleep(pauseMs);
-        proxy.knows(known());
+        proxy.setInitialEndpoints(listedEndpoints());
         proxy.start();
-        if (!proxy.awaitReady(READY_AGAIN) && ran) {
+        if (!proxy.awaitReady(RESTART_TIMEOUT) && wasAlive) {
             violations.add(new Violation(Rule.NOT_READY, "n" + proxy.number() + " after a restart"));
         }
     }
 
     @Override
     public void close() {
-        workers.shutdownNow();
+        faultExecutor.shutdownNow();
         proxies.forEach(ProxyInstance::close);
         discoveries.forEach(DiscoveryServer::close);
         backends.close();
--- a/lab/src/test/java/passhatch/lab/control/ControlPathTest.java
+++ b/lab/src/test/java/passhatch/lab/control/ControlPathTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import passhatch.lab.control.ControlPath.Spell;
+import passhatch.lab.control.ControlPath.PhaseResult;
 import passhatch.lab.discovery.CallCosts;
 import passhatch.lab.discovery.DiscoveryServer.Mode;
 
@@ -24,20 +24,20 @@
 
     private static final int WATCHES = 50;
     private static final int LINES = 60;
-    private static final Duration MOST = Duration.ofSeconds(60);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(60);
 
     private final ControlPath path = new ControlPath(LINES, CallCosts.NONE, 2, false, 1);
 
     @BeforeEach
     void open() throws InterruptedException {
-        Spell open = path.open(WATCHES, MOST);
-        assertEquals(WATCHES, path.watches());
-        assertCalls(open, 2 * WATCHES, 4 * WATCHES);
+        PhaseResult open = path.startProxies(WATCHES, MAX_WAIT);
+        assertEquals(WATCHES, path.openWatches());
+        assertCallCount(open, 2 * WATCHES, 4 * WATCHES);
     }
 
-    private static void assertCalls(Spell spell, int least, int most) {
-        long calls = spell.calls().calls();
-        assertTrue(calls >= least && calls <= most, () -> calls + " calls");
+    private static void assertCallCount(PhaseResult phase, int min, int max) {
+        long calls = phase.callStats().callCount();
+        assertTrue(calls >= min && calls <= max, () -> calls + " calls");
     }
 
     @AfterEach
@@ -46,46 +46,49 @@
     }
 
     @Test
-    void oneChangeReachesEveryModuleAndIsAllThatIsSent() throws Exception {
-        long wholeList = path.wholeListBytes();
-        Spell change = path.change(1, MOST);
-        assertEquals(0, change.unfinished());
-        assertCalls(change, 0, WATCHES / 5);
-        assertTrue(change.calls().sent() < WATCHES * wholeList / 10, () -> change.calls().sent() + " bytes");
+    void oneChangeReachesEveryModuleWithoutSendingFullLists() throws Exception {
+        long fullListBytes = path.fullListBytes();
+        PhaseResult change = path.changeBackends(1, MAX_WAIT);
+        assertEquals(0, change.unfinishedProxies());
+        assertCallCount(change, 0, WATCHES / 5);
+        assertTrue(change.callStats().sentBytes() < WATCHES * fullListBytes / 10,
+                () -> change.callStats().sentBytes() + " bytes");
     }
 
     @Test
-    void aBurstReachesEveryModule() throws Exception {
-        Spell burst = path.change(LINES, MOST);
-        assertEquals(0, burst.unfinished());
-        assertCalls(burst, 0, WATCHES / 5);
+    void changesOfAllBackendsReachEveryModule() throws Exception {
+        PhaseResult burst = path.changeBackends(LINES, MAX_WAIT);
+        assertEquals(0, burst.unfinishedProxies());
+        assertCallCount(burst, 0, WATCHES / 5);
     }
 
     @ParameterizedTest
     @EnumSource
-    void everyWatchIsOpenedAnewWithFewCalls(Fault fault) throws Exception {
-        long wholeList = path.wholeListBytes();
-        Spell recovery = path.recover(fault, Duration.ZERO, MOST);
-        assertEquals(0, recovery.unfinished());
-        assertEquals(WATCHES, path.watches());
-        assertCalls(recovery, WATCHES, 3 * WATCHES);
+    void everyWatchIsReopenedWithFewCalls(WatchFault fault) throws Exception {
+        long fullListBytes = path.fullListBytes();
+        PhaseResult recovery = path.recover(fault, Duration.ZERO, MAX_WAIT);
+        assertEquals(0, recovery.unfinishedProxies());
+        assertEquals(WATCHES, path.openWatches());
+        assertCallCount(recovery, WATCHES, 3 * WATCHES);
         // After an outage the history is lost, and a whole list is due; but never two of them.
-        double lists = recovery.calls().sent() / (double) wholeList / recovery.calls().calls();
-        assertTrue(lists < (fault == Fault.OUTAGE ? 1.1 : 0.5), () -> lists + " lists a call");
+        double listsPerCall = recovery.callStats().sentBytes() / (double) fullListBytes / recovery
+                .callStats().callCount();
+        assertTrue(listsPerCall < (fault == WatchFault.OUTAGE ? 1.1 : 0.5),
+                () -> listsPerCall + " lists a call");
     }
 
     @Test
     @Timeout(120)
-    void callsThatFailAreRepeatedUntilTheWatchIsOpen() throws Exception {
+    void failedCallsAreRetriedUntilTheWatchIsOpen() throws Exception {
         path.discovery().mode(Mode.FAILING);
         path.discovery().resetWatches();
-        while (path.calls().turnedAwayInInterval() < 3 * WATCHES) {
+        while (path.callRecorder().rejectedInCurrentInterval() < 3 * WATCHES) {
             Thread.sleep(5);
         }
         path.discovery().mode(Mode.SERVING);
-        Spell change = path.change(1, MOST);
-        assertEquals(0, change.unfinished());
-        assertEquals(WATCHES, path.watches());
-        assertCalls(change, 0, 3 * WATCHES);
+        PhaseResult change = path.changeBackends(1, MAX_WAIT);
+        assertEquals(0, change.unfinishedProxies());
+        assertEquals(WATCHES, path.openWatches());
+        assertCallCount(change, 0, 3 * WATCHES);
     }
 }
--- a/lab/src/test/java/passhatch/lab/discovery/DiscoveryServerTest.java
+++ b/lab/src/test/java/passhatch/lab/discovery/DiscoveryServerTest.java
@@ -59,13 +59,13 @@
     }
 
     private BufferedReader watch(String query) throws Exception {
-        HttpResponse<InputStream> answer = client.send(get("/v1/endpoints?watch=1" + query),
+        HttpResponse<InputStream> response = client.send(get("/v1/endpoints?watch=1" + query),
                 BodyHandlers.ofInputStream());
-        assertEquals("chunked", answer.headers().firstValue("transfer-encoding").orElse(""));
-        return new BufferedReader(new InputStreamReader(answer.body(), StandardCharsets.UTF_8));
+        assertEquals("chunked", response.headers().firstValue("transfer-encoding").orElse(""));
+        return new BufferedReader(new InputStreamReader(response.body(), StandardCharsets.UTF_8));
     }
 
-    private static String object(BufferedReader watch) throws IOException {
+    private static String readObject(BufferedReader watch) throws IOException {
         String line = watch.readLine();
         while (line != null && line.isEmpty()) {
             line = watch.readLine();
@@ -74,25 +74,25 @@
     }
 
     /** Index, whether whole, and the names with their states. */
-    private static String brief(String json) throws IOException {
+    private static String summary(String json) throws IOException {
         Map<String, Object> update = JSON.std.mapFrom(json);
-        StringBuilder brief = new StringBuilder().append(update.get("index"))
+        StringBuilder summary = new StringBuilder().append(update.get("index"))
                 .append(Boolean.TRUE.equals(update.get("snapshot")) ? " whole" : " changes");
         for (Object endpoint : (List<?>) update.get("endpoints")) {
-            Map<?, ?> e = (Map<?, ?>) endpoint;
-            brief.append(' ').append(e.get("name")).append('=').append(e.get("status"));
+            Map<?, ?> fields = (Map<?, ?>) endpoint;
+            summary.append(' ').append(fields.get("name")).append('=').append(fields.get("status"));
         }
-        return brief.toString();
+        return summary.toString();
     }
 
     @Test
-    void theWholeListReadsAsOnThePage() throws Exception {
-        HttpResponse<String> answer = call("/v1/endpoints");
-        assertEquals(200, answer.statusCode());
+    void theFullListHasTheFormatOfTheProtocol() throws Exception {
+        HttpResponse<String> response = call("/v1/endpoints");
+        assertEquals(200, response.statusCode());
         String line = "{\"name\":\"s-%s\",\"address\":\"10.1.0.%d:5000\",\"zone\":\"%s\",\"type\":\"m2\","
                 + "\"group\":3,\"status\":\"SERVING\",\"weight\":1.0,\"since_ms\":0}";
         assertEquals("{\"index\":1,\"snapshot\":true,\"endpoints\":[" + line.formatted("a", 18, "a") + ","
-                + line.formatted("b", 19, "b") + "]}\n", answer.body());
+                + line.formatted("b", 19, "b") + "]}\n", response.body());
         assertEquals(404, call("/v1/other").statusCode());
     }
 
@@ -100,36 +100,37 @@
     @CsvSource({"&from=4, 4 changes", "&from=3, 4 changes s-b=DELETED",
         "&from=1, 4 changes s-b=DELETED s-a=DRAINING", "&from=0, 4 whole s-a=DRAINING",
         "&from=5, 4 whole s-a=DRAINING", "&from=x, 4 whole s-a=DRAINING", "'', 4 whole s-a=DRAINING"})
-    void aWatchBeginsWithWhatChangedSinceOrTheWholeList(String query, String first) throws Exception {
-        server.change(List.of(B.with(Status.DRAINING)));
-        server.change(List.of(A.with(Status.DRAINING)));
-        server.change(List.of(B.with(Status.DELETED)));
-        assertEquals(first, brief(watch(query).readLine()));
-        assertEquals("4 whole s-a=DRAINING", brief(call("/v1/endpoints").body()));
+    void aWatchBeginsWithTheChangesSinceItsVersionOrTheFullList(String query, String expected)
+    throws Exception {
+        server.change(List.of(B.withStatus(Status.DRAINING)));
+        server.change(List.of(A.withStatus(Status.DRAINING)));
+        server.change(List.of(B.withStatus(Status.DELETED)));
+        assertEquals(expected, summary(watch(query).readLine()));
+        assertEquals("4 whole s-a=DRAINING", summary(call("/v1/endpoints").body()));
     }
 
     @Test
-    void aWatchTellsEachChangeOnALineAndSaysSoWhereNothingChanges() throws Exception {
+    void aWatchSendsEachChangeOnALineAndEmptyLinesWhenIdle() throws Exception {
         BufferedReader watch = watch("&from=1");
-        assertEquals("1 changes", brief(watch.readLine()));
-        server.change(List.of(A.with(Status.DRAINING), B.with(Status.DRAINING)));
+        assertEquals("1 changes", summary(watch.readLine()));
+        server.change(List.of(A.withStatus(Status.DRAINING), B.withStatus(Status.DRAINING)));
         server.change(List.of(A));
-        assertEquals("2 changes s-a=DRAINING s-b=DRAINING", brief(watch.readLine()));
-        assertEquals("3 changes s-a=SERVING", brief(watch.readLine()));
+        assertEquals("2 changes s-a=DRAINING s-b=DRAINING", summary(watch.readLine()));
+        assertEquals("3 changes s-a=SERVING", summary(watch.readLine()));
         assertEquals("", watch.readLine());
     }
 
     @Test
-    void listsMayComeIndented() throws Exception {
+    void listsCanBeIndented() throws Exception {
         server.close();
         server = start(true);
         String text = call("/v1/endpoints").body();
-        assertEquals("1 whole s-a=SERVING s-b=SERVING", brief(text));
+        assertEquals("1 whole s-a=SERVING s-b=SERVING", summary(text));
         assertTrue(text.lines().count() > 10, text);
     }
 
     @Test
-    void callsFailOrGetNoAnswerWhileItIsToldTo() throws Exception {
+    void callsFailOrGetNoResponseInTheFailureModes() throws Exception {
         server.mode(Mode.FAILING);
         assertEquals(503, call("/v1/endpoints").statusCode());
         assertEquals(503, call("/v1/endpoints?watch=1&from=1").statusCode());
@@ -141,45 +142,45 @@
     }
 
     @Test
-    void someWatchesFallSilentAndTheOthersDoNot() throws Exception {
+    void silencedWatchesReceiveNoChangesAndTheOthersDo() throws Exception {
         BufferedReader silent = watch("&from=1");
-        BufferedReader told = watch("&from=1");
-        assertEquals(2, server.watches());
-        server.silence(1);
-        assertEquals(1, server.watches());
-        server.change(List.of(A.with(Status.DRAINING)));
-        object(told);
-        assertEquals("2 changes s-a=DRAINING", brief(object(told)));
-        assertEquals("1 changes", brief(object(silent)));
+        BufferedReader active = watch("&from=1");
+        assertEquals(2, server.openWatches());
+        server.silenceWatches(1);
+        assertEquals(1, server.openWatches());
+        server.change(List.of(A.withStatus(Status.DRAINING)));
+        readObject(active);
+        assertEquals("2 changes s-a=DRAINING", summary(readObject(active)));
+        assertEquals("1 changes", summary(readObject(silent)));
         assertFalse(silent.ready());
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void watchesEndWholeOrAreReset(boolean whole) throws Exception {
+    void watchesEndWithACompleteResponseOrAreReset(boolean complete) throws Exception {
         BufferedReader watch = watch("&from=1");
-        object(watch);
-        if (whole) {
+        readObject(watch);
+        if (complete) {
             server.endWatches();
-            assertNull(object(watch));
+            assertNull(readObject(watch));
         } else {
             server.resetWatches();
-            assertThrows(IOException.class, () -> object(watch));
+            assertThrows(IOException.class, () -> readObject(watch));
         }
-        assertEquals(0, server.watches());
+        assertEquals(0, server.openWatches());
         assertEquals(200, call("/v1/endpoints").statusCode());
     }
 
     @ParameterizedTest
     @CsvSource({"true, 2 changes s-a=DRAINING", "false, 2 whole s-a=DRAINING s-b=SERVING"})
-    void itGoesDownAndComesBackWithItsHistoryOrWithout(boolean remembering, String first) throws Exception {
+    void itRestartsAfterACrashWithOrWithoutItsHistory(boolean keepHistory, String expected) throws Exception {
         BufferedReader watch = watch("&from=1");
-        object(watch);
-        server.goDown();
-        assertThrows(IOException.class, () -> object(watch));
+        readObject(watch);
+        server.crash();
+        assertThrows(IOException.class, () -> readObject(watch));
         assertThrows(ConnectException.class, () -> call("/v1/endpoints"));
-        server.change(List.of(A.with(Status.DRAINING)));
-        server.comeBack(remembering);
-        assertEquals(first, brief(object(watch("&from=1"))));
+        server.change(List.of(A.withStatus(Status.DRAINING)));
+        server.restart(keepHistory);
+        assertEquals(expected, summary(readObject(watch("&from=1"))));
     }
 }
--- a/lab/src/test/java/passhatch/lab/latency/ServedProxyTest.java
+++ b/lab/src/test/java/passhatch/lab/latency/ProxyProcessTest.java
@@ -15,20 +15,21 @@
 
 /** The whole way of a measured call, with the proxy as the deploy file runs it. */
 @Timeout(120)
-final class ServedProxyTest {
+final class ProxyProcessTest {
 
     @Test
     void everyPlannedRequestGoesThroughTheProxyAndEnds() throws Exception {
-        try (StandInBackends backends = new StandInBackends(1);
+        try (StubBackends backends = new StubBackends(1);
                 DiscoveryServer discovery = new DiscoveryServer(List.of(Endpoint.serving("s",
-                        "127.0.0.1:" + backends.addresses().get(0).getPort(), ServedProxy.ZONE,
-                        ServedProxy.MODEL, 0)), CallCosts.NONE, false, DiscoveryListener.NONE);
-                ServedProxy proxy = new ServedProxy(Path.of(".."), Cores.allowed(), discovery.address());
+                        "127.0.0.1:" + backends.addresses().get(0).getPort(), ProxyProcess.ZONE,
+                        ProxyProcess.MACHINE_TYPE, 0)), CallCosts.NONE, false, DiscoveryListener.NONE);
+                ProxyProcess proxy = new ProxyProcess(Path.of(".."), CoreAssignment.detect(),
+                        discovery.address());
                 OpenLoopLoad load = new OpenLoopLoad(proxy.address(), 50, 1)) {
             LoadResult result = load.run(100, Duration.ofMillis(500), Duration.ofSeconds(60));
             assertEquals(List.of(50, 50, 50), List.of(result.planned(), result.sent(), result.ended()));
             assertTrue(result.served() > 25, () -> result.served() + " served");
-            assertTrue(proxy.processorTime().toNanos() > 0);
+            assertTrue(proxy.cpuTime().toNanos() > 0);
         }
     }
 }
--- a/lab/src/test/java/passhatch/lab/soak/DiscoveryCrowdTest.java
+++ b/lab/src/test/java/passhatch/lab/soak/DiscoveryOverloadTest.java
@@ -19,25 +19,25 @@
  * not for one that asks several times a second.
  */
 @Timeout(180)
-final class DiscoveryCrowdTest {
+final class DiscoveryOverloadTest {
 
     private static final int PROXIES = 24;
     private static final CallCosts COSTS = new CallCosts(Duration.ofMillis(50), Duration.ZERO,
             Duration.ofSeconds(3), 2, Duration.ofMillis(50));
 
     @TempDir
-    Path folder;
+    Path directory;
 
     @Test
-    void aFleetThatWasRefusedHearsOfARemovalInTime() throws Exception {
+    void aFleetWhoseCallsFailedLearnsOfARemovalInTime() throws Exception {
         SoakRun.Size size = new SoakRun.Size(PROXIES, 6, Duration.ZERO, 0, true, COSTS);
-        try (SoakRun run = new SoakRun(Path.of(".."), folder, 1, size)) {
+        try (SoakRun run = new SoakRun(Path.of(".."), directory, 1, size)) {
             run.start();
-            run.load();
-            run.discoveryFails(DiscoveryServer.Mode.FAILING, Duration.ofSeconds(5));
-            run.remove(0, Status.DELETED);
-            Duration told = Oracle.TOLD.plus(ProxyInstance.DRAIN_GRACE);
-            TimeUnit.MILLISECONDS.sleep(told.plusSeconds(3).toMillis());
+            run.startLoad();
+            run.failDiscovery(DiscoveryServer.Mode.FAILING, Duration.ofSeconds(5));
+            run.removeBackend(0, Status.DELETED);
+            Duration notifiedAfter = Oracle.MAX_NOTIFICATION_DELAY.plus(ProxyInstance.DRAIN_GRACE);
+            TimeUnit.MILLISECONDS.sleep(notifiedAfter.plusSeconds(3).toMillis());
             assertEquals(List.of(), run.finish(1).violations(), run::logs);
         }
     }
