--- a/lab/src/main/c/fault_shim.c
+++ b/lab/src/main/c/fault_shim.c
@@ -1,6 +1,6 @@
 /*
- * Loaded into a proxy under test (LD_PRELOAD): steps its wall clock and makes some of its system calls fail.
- * What happens is read from a file that the soak writes and this library maps, so it can change at any time.
+ * Preloaded into a proxy under test (LD_PRELOAD) to step its wall clock and make some of its system calls fail.
+ * The current faults are in a file that this library maps and the soak writes, so they can change at any time.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -16,7 +16,7 @@
 
 #define NANOS_PER_SECOND 1000000000LL
 
-/* The same layout as FaultShim.java writes, in the machine's byte order. */
+/* Must match the layout that FaultShim.java writes, in native byte order. */
 struct faults {
     int64_t clock_step_ns;
     int32_t accept_permille;
@@ -30,6 +30,7 @@
 static volatile struct faults no_faults;
 static volatile struct faults *active_faults = &no_faults;
 
+/* Maps the file named by FAULT_SHIM_FILE; without it there are no faults. */
 __attribute__((constructor)) static void map_faults(void)
 {
     const char *path = getenv("FAULT_SHIM_FILE");
@@ -44,6 +45,7 @@
     }
 }
 
+/* Decides randomly, with a generator for each thread, whether a call fails. */
 static int should_fail(int32_t permille)
 {
     static __thread uint32_t random_state;
--- a/lab/src/main/java/passhatch/lab/control/BackendList.java
+++ b/lab/src/main/java/passhatch/lab/control/BackendList.java
@@ -9,10 +9,13 @@
 import passhatch.lab.discovery.Endpoint;
 import passhatch.lab.discovery.Endpoint.Status;
 
-/** Made-up backends, spread evenly over the zones; nothing listens at their addresses. */
+/**
+ * A list of synthetic backends, spread evenly over the zones. Nothing listens at their addresses. Not
+ * thread-safe.
+ */
 final class BackendList {
 
-    /** The zones planned for. */
+    /** All zones of the planned deployment. */
     static final List<String> ZONES = IntStream.range(0, 24).mapToObj(i -> String.format("zone-%02d", i))
             .toList();
     static final List<String> MACHINE_TYPES = List.of("m1", "m2");
@@ -21,6 +24,7 @@
 
     private final List<Endpoint> endpoints = new ArrayList<>();
 
+    /** Creates {@code size} backends, all in status SERVING. */
     BackendList(int size) {
         for (int i = 0; i < size; i++) {
             endpoints.add(Endpoint.serving(String.format("s-%08x", i * 0x9E3779B1),
@@ -34,11 +38,18 @@
         return endpoints.size();
     }
 
+    /** Returns a copy of all backends with their current status. */
     List<Endpoint> all() {
         return List.copyOf(endpoints);
     }
 
-    /** Turns so many backends, from a place on, from serving to draining or back, and returns them so. */
+    /**
+     * Switches consecutive backends between SERVING and DRAINING.
+     *
+     * @param from index of the first one; indices wrap around at the end of the list
+     * @param count number of backends to switch
+     * @return the switched backends with their new status
+     */
     List<Endpoint> toggleStatuses(int from, int count) {
         List<Endpoint> changed = new ArrayList<>();
         for (int i = from; i < from + count; i++) {
@@ -51,7 +62,7 @@
         return changed;
     }
 
-    /** What modules are told of these. */
+    /** Returns the status that a decision module is notified of for each endpoint, by endpoint name. */
     static Map<String, ServerStatus> toServerStatuses(List<Endpoint> endpoints) {
         return endpoints.stream().collect(Collectors.toMap(Endpoint::name,
                 e -> e.status() == Status.SERVING ? ServerStatus.UP : ServerStatus.DRAINING));
--- a/lab/src/main/java/passhatch/lab/control/ControlMeasurements.java
+++ b/lab/src/main/java/passhatch/lab/control/ControlMeasurements.java
@@ -8,36 +8,44 @@
 import java.util.Set;
 import passhatch.lab.Results;
 
-/** The figures of one size, by name and run, on their way into the table; and slopes between two sizes. */
+/** The measurements of one size, by name and run, and the slopes between two sizes. */
 final class ControlMeasurements {
 
-    /** What a figure grows with. */
+    /** The dimension that a measurement grows with. */
     enum ScalesWith {
-        /** The list: it is one watch's, whatever their number. */
+        /**
+         * The number of lines in the list; the value is per watch and does not depend on the number of
+         * watches.
+         */
         LINES,
-        /** The number of watches, where the list is the same. */
+        /** The number of watches, for the same list. */
         WATCHES,
-        /** Neither, as far as the table tells. */
+        /** Neither; no slope is reported. */
         NOTHING
     }
 
+    /** One measurement with one value per run. */
     private record Measurement(ScalesWith scalesWith, String unit, List<Double> valuesByRun) { }
 
     private final ControlPathSize size;
     private final Map<String, Measurement> measurements = new LinkedHashMap<>();
+    /** Names of the measurements that are in the results already. */
     private final Set<String> written = new HashSet<>();
 
+    /** Creates an empty set of measurements at a size. */
     ControlMeasurements(ControlPathSize size) {
         this.size = size;
     }
 
-    /** Adds the value of a further run. */
+    /** Adds the value of one more run to the named measurement. */
     void add(ScalesWith scalesWith, String name, String unit, double value) {
         measurements.computeIfAbsent(name, n -> new Measurement(scalesWith, unit, new ArrayList<>()))
                 .valuesByRun().add(value);
     }
 
-    /** Writes the figures into the table that are not in it; they are to get no further run. */
+    /**
+     * Writes the measurements that are not in the results yet. Values added to them later are not written.
+     */
     void writeTo(Results results) {
         measurements.forEach((name, measurement) -> {
             if (written.add(name)) {
@@ -47,7 +55,10 @@
         });
     }
 
-    /** Writes how the figures grew since another size, for each line or watch more, run by run. */
+    /**
+     * Writes the growth of each measurement since a smaller size, run by run: per added line, or per added
+     * watch if both sizes have the same number of lines.
+     */
     void writeSlopesTo(Results results, ControlMeasurements previous) {
         int addedLines = size.lines() - previous.size.lines();
         int addedWatches = addedLines == 0 ? size.watches() - previous.size.watches() : 0;
--- a/lab/src/main/java/passhatch/lab/control/ControlPath.java
+++ b/lab/src/main/java/passhatch/lab/control/ControlPath.java
@@ -14,11 +14,17 @@
 import passhatch.lab.discovery.DiscoveryServer;
 import passhatch.lab.discovery.Endpoint;
 
-/** A stand-in discovery and the simulated proxies that watch it, over loopback sockets. */
+/**
+ * The control path in one process: a stand-in for discovery and simulated proxies that watch it over loopback
+ * sockets.
+ */
 final class ControlPath implements Closeable {
 
     private static final long POLL_INTERVAL_MS = 20;
-    /** Lines of first lists that are on their way at a time: all at once would keep loops too long. */
+    /**
+     * Limit of list lines sent to starting proxies at a time. Starting all proxies at once would block the
+     * event loops for too long.
+     */
     private static final int MAX_PENDING_LIST_LINES = 60_000;
 
     private final BackendList backends;
@@ -27,32 +33,35 @@
     private final ProxyFleet fleet;
     private final EventLoopCpuTime discoveryCpuTime;
     private final EventLoopCpuTime proxiesCpuTime;
+    /** Index of the backend that changes next. */
     private int nextToChange;
 
     /**
-     * What happened in a spell.
+     * The measurements of one phase.
      *
-     * @param callStats at discovery
-     * @param propagationTime from its beginning until all that changed was in force at the last proxy
-     * @param unfinishedProxies proxies at which it was not when the spell was given up; 0 where all is well
-     * @param discoveryCpuNs processor time of discovery
-     * @param proxiesCpuNs processor time of all proxies together
+     * @param callStats calls and traffic at discovery
+     * @param propagationTime time from the start until the last proxy that received all changes had applied
+     *     them
+     * @param unfinishedProxies proxies that had not applied all changes at the time-out; 0 on success
+     * @param discoveryCpuNs CPU time of discovery in nanoseconds
+     * @param proxiesCpuNs CPU time of all proxies together in nanoseconds
      */
     record PhaseResult(DiscoveryCallRecorder.Interval callStats, Duration propagationTime,
-            long unfinishedProxies, long discoveryCpuNs,
-            long proxiesCpuNs) { }
+            long unfinishedProxies, long discoveryCpuNs, long proxiesCpuNs) { }
 
-    /** What is done in a spell; it returns what is then to come into force. */
+    /** The action measured in a phase; returns the propagation to wait for. */
     private interface PhaseAction {
         Propagation run() throws InterruptedException;
     }
 
     /**
-     * Starts discovery with a list of so many backends, and no proxy yet.
+     * Starts discovery without any proxies.
      *
-     * @param loops event loops, and so threads, of the proxies
-     * @param discoveryPushes whether proxies take discovery for one that pushes
-     * @param seed of the first proxy
+     * @param backends number of backends in the list
+     * @param costs simulated costs of calls to discovery
+     * @param loops number of event loops of the proxies, each with one thread
+     * @param discoveryPushes whether proxies treat discovery as a service that pushes changes
+     * @param seed random seed of the first proxy; each further proxy uses the next one
      */
     ControlPath(int backends, CallCosts costs, int loops, boolean discoveryPushes, long seed) {
         this.backends = new BackendList(backends);
@@ -62,7 +71,7 @@
         this.proxiesCpuTime = fleet.cpuTime();
     }
 
-    /** Starts proxies, some at a time, until so many watch; gives up after a time. */
+    /** Starts proxies in batches until {@code watches} proxies have started or the time-out expires. */
     PhaseResult startProxies(int watches, Duration timeout) throws InterruptedException {
         long endNs = System.nanoTime() + timeout.toNanos();
         int batchSize = Math.max(1, MAX_PENDING_LIST_LINES / backends.size());
@@ -75,7 +84,7 @@
         });
     }
 
-    /** Changes nothing for a time. */
+    /** Measures a phase of the given duration without changes. */
     PhaseResult idle(Duration duration) throws InterruptedException {
         return measurePhase(duration, () -> {
             Thread.sleep(duration.toMillis());
@@ -83,7 +92,10 @@
         });
     }
 
-    /** Changes so many backends, each in a version of its own, and waits until all is in force everywhere. */
+    /**
+     * Changes the status of {@code count} backends, each in its own list version, and waits until every proxy
+     * has applied all changes or the time-out expires.
+     */
     PhaseResult changeBackends(int count, Duration timeout) throws InterruptedException {
         return measurePhase(timeout, () -> {
             List<Endpoint> changed = toggleNextBackends(count);
@@ -93,7 +105,12 @@
         });
     }
 
-    /** Has all watches opened anew, with one change that none heard of, and waits until it is in force. */
+    /**
+     * Injects a fault that forces all watches to be reopened, makes one change that the old watches do not
+     * deliver, and waits until every proxy has applied it or the time-out expires.
+     *
+     * @param outage how long discovery is down; used only by {@link WatchFault#OUTAGE}
+     */
     PhaseResult recover(WatchFault fault, Duration outage, Duration timeout) throws InterruptedException {
         if (fault != WatchFault.OUTAGE) {
             return measurePhase(timeout, () -> {
@@ -114,7 +131,7 @@
         });
     }
 
-    /** Bytes of the answer that brings the whole list, HTTP's own included. */
+    /** Returns the size in bytes of the response with the full list, including the HTTP head. */
     long fullListBytes() throws IOException {
         String request = "GET /v1/endpoints HTTP/1.1\r\nHost: discovery\r\nConnection: close\r\n\r\n";
         try (Socket socket = new Socket(discovery.address().getAddress(), discovery.address().getPort())) {
@@ -155,11 +172,15 @@
         }
     }
 
+    /** The stand-in for discovery. */
     DiscoveryServer discovery() {
         return discovery;
     }
 
-    /** For telling when nothing is held any more: all proxies, and all ends of connections, refer here. */
+    /**
+     * Returns weak references that clear once this object's memory can be reclaimed: every proxy and every
+     * connection refers to one of these objects.
+     */
     List<WeakReference<?>> weakReferences() {
         return List.of(new WeakReference<>(fleet), new WeakReference<>(discovery));
     }
@@ -168,7 +189,7 @@
         return callRecorder;
     }
 
-    /** Watches that are open, and told of changes. */
+    /** Number of open watches that receive changes. */
     int openWatches() {
         return discovery.openWatches();
     }
--- a/lab/src/main/java/passhatch/lab/control/ControlPathBenchmark.java
+++ b/lab/src/main/java/passhatch/lab/control/ControlPathBenchmark.java
@@ -16,42 +16,48 @@
 import passhatch.lab.discovery.CallCosts;
 
 /**
- * Measures the control path at one size after another. The runs of a size follow each other on one fleet of
- * simulated proxies: what they spread over is time, not starts.
+ * Measures the control path at several sizes in turn. All runs of a size use the same fleet of simulated
+ * proxies, so the spread of their values shows variation over time, not between starts.
  */
 public final class ControlPathBenchmark {
 
-    /** A change every 4.5 s is 19,000 a day: what the fleet is planned for. */
+    /** Planned interval between changes: one every 4.5 s is 19,000 a day. */
     private static final Duration IDLE_PERIOD = Duration.ofMillis(4_500);
+    /** How long discovery is down in an outage. */
     private static final Duration OUTAGE_DURATION = Duration.ofSeconds(8);
-    /** Nothing is waited for longer. */
+    /** Time-out of each phase. */
     private static final Duration MAX_WAIT = Duration.ofSeconds(40);
     private static final ControlPathSize WARM_UP_SIZE = new ControlPathSize(100, 300);
     private static final int WARM_UP_ROUNDS = 2;
-    /** Both ends of a connection are in this process. */
+    /** Both ends of each connection are in this process. */
     private static final int DESCRIPTORS_PER_WATCH = 2;
+    /** Descriptors kept free for everything other than watches. */
     private static final int RESERVED_DESCRIPTORS = 200;
 
     private final Plan plan;
     private final Results results;
     private final Consumer<String> progress;
-    /** Are cleared once nothing of the size before is held any more. */
+    /** References that clear once the memory of the previous size can be reclaimed. */
     private List<WeakReference<?>> closedReferences = List.of();
 
     /**
-     * How to measure.
+     * The parameters of a benchmark.
      *
-     * @param runs of each figure
-     * @param burstSize backends that change at once, at most all
-     * @param costs of calls at discovery
-     * @param eventLoops event loops of the proxies
-     * @param discoveryPushes whether proxies take discovery for one that pushes
-     * @param seed of the first proxy
+     * @param runs number of runs of each measurement
+     * @param burstSize number of backends that change at once, limited to the size of the list
+     * @param costs simulated costs of calls to discovery
+     * @param eventLoops number of event loops of the proxies
+     * @param discoveryPushes whether proxies treat discovery as a service that pushes changes
+     * @param seed random seed of the first proxy
      */
     public record Plan(int runs, int burstSize, CallCosts costs, int eventLoops, boolean discoveryPushes,
             long seed) { }
 
-    /** Measures by the plan, into the table. */
+    /**
+     * Creates a benchmark that writes to the given results.
+     *
+     * @param progress receives a line of text before each step
+     */
     public ControlPathBenchmark(Plan plan, Results results, Consumer<String> progress) {
         this.plan = plan;
         this.results = results;
@@ -59,8 +65,9 @@
     }
 
     /**
-     * Measures at each size in turn, and how figures grew from the one to the next. A size before another
-     * with the same list is there for the slope a watch, and does without what takes seconds of waiting.
+     * Measures each size in turn and the slopes from each size to the next. A size that is followed by one
+     * with the same number of lines is needed only for the slope per watch, so its idle phases and all faults
+     * except the reset, which take seconds each, are skipped.
      */
     public void run(List<ControlPathSize> sizes) throws IOException, InterruptedException {
         warmUp();
@@ -75,7 +82,9 @@
         }
     }
 
-    /** Else the first size would pay for the compiler. */
+    /**
+     * Has the hot code compiled first, so that the first size does not include the time of the JIT compiler.
+     */
     private void warmUp() throws InterruptedException {
         progress.accept("warming up");
         try (ControlPath path = createPath(WARM_UP_SIZE)) {
--- a/lab/src/main/java/passhatch/lab/control/DiscoveryCallRecorder.java
+++ b/lab/src/main/java/passhatch/lab/control/DiscoveryCallRecorder.java
@@ -4,69 +4,76 @@
 import org.HdrHistogram.Histogram;
 import passhatch.lab.discovery.DiscoveryListener;
 
-/** Counts what happens at discovery, for one interval after another. */
+/** Records calls to discovery and their traffic in consecutive intervals. Thread-safe. */
 final class DiscoveryCallRecorder implements DiscoveryListener {
 
+    /** Longest wait that the histograms can hold. */
     private static final long MAX_RECORDED_US = TimeUnit.MINUTES.toMicros(10);
     private static final int SIGNIFICANT_DIGITS = 3;
 
     private Interval current = new Interval();
 
-    /** What happened in one interval. */
+    /** The calls and bytes of one interval. */
     static final class Interval {
         private final long startNs = System.nanoTime();
         private long endNs;
-        /** Times since the start of each call's arrival, microseconds. */
+        /** Arrival time of each call since the start of the interval, in microseconds. */
         private final Histogram arrivalsUs = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGITS);
         private final PeakRate callRate = new PeakRate();
-        /** How long calls waited, their own time included, microseconds. */
+        /** Time from the arrival of each served call to its response, in microseconds. */
         private final Histogram waitsUs = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGITS);
         private int rejectedCalls;
         private int maxQueueLength;
         private long receivedBytes;
         private long sentBytes;
 
+        /** Number of calls that arrived. */
         long callCount() {
             return arrivalsUs.getTotalCount();
         }
 
+        /** Arrival time of each call since the start of the interval, in microseconds. */
         Histogram arrivalsUs() {
             return arrivalsUs;
         }
 
-        /** The most calls in a tenth of a second, as a rate a second. */
+        /** Highest number of calls within 0.1 s, as calls per second. */
         double peakCallsPerSecond() {
             return callRate.peakPerSecond();
         }
 
+        /** Time from the arrival of each served call to its response, in microseconds. */
         Histogram waitsUs() {
             return waitsUs;
         }
 
+        /** Number of calls answered 503. */
         int rejectedCalls() {
             return rejectedCalls;
         }
 
+        /** Largest number of queued calls, including the one that just arrived. */
         int maxQueueLength() {
             return maxQueueLength;
         }
 
-        /** Bytes from callers. */
+        /** Bytes that discovery read from callers. */
         long receivedBytes() {
             return receivedBytes;
         }
 
-        /** Bytes to callers. */
+        /** Bytes that discovery wrote to callers. */
         long sentBytes() {
             return sentBytes;
         }
 
+        /** Length of the interval in seconds; defined only for a finished interval. */
         double durationSeconds() {
             return (endNs - startNs) / 1e9;
         }
     }
 
-    /** Ends the interval, returns it, and begins the next. */
+    /** Finishes the current interval, starts the next one and returns the finished one. */
     synchronized Interval startNextInterval() {
         Interval finished = current;
         finished.endNs = System.nanoTime();
@@ -74,7 +81,7 @@
         return finished;
     }
 
-    /** Calls answered 503 since the interval began. */
+    /** Number of calls answered 503 since the current interval started. */
     synchronized int rejectedInCurrentInterval() {
         return current.rejectedCalls;
     }
--- a/lab/src/main/java/passhatch/lab/control/FileDescriptors.java
+++ b/lab/src/main/java/passhatch/lab/control/FileDescriptors.java
@@ -3,12 +3,15 @@
 import com.sun.management.UnixOperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 
-/** File descriptors that this process may still open. */
+/** The limit of file descriptors of this process. */
 final class FileDescriptors {
 
     private FileDescriptors() { }
 
-    /** How many; where the system does not tell, as many as one could want. */
+    /**
+     * Returns how many more descriptors may be opened, or {@link Long#MAX_VALUE} if the system does not
+     * report it.
+     */
     static long available() {
         return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
                 ? system.getMaxFileDescriptorCount() - system.getOpenFileDescriptorCount() : Long.MAX_VALUE;
--- a/lab/src/main/java/passhatch/lab/control/LiveHeap.java
+++ b/lab/src/main/java/passhatch/lab/control/LiveHeap.java
@@ -4,16 +4,17 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** What is alive in this process's heap. */
+/** The size of the live objects in the heap of this process. */
 final class LiveHeap {
 
     private static final long RETRY_INTERVAL_MS = 500;
     private static final int MAX_ATTEMPTS = 20;
+    /** The heap counts as stable when a collection leaves more than this part of the size before. */
     private static final double STABLE_RATIO = 0.99;
 
     private LiveHeap() { }
 
-    /** Bytes, after a full collection. */
+    /** Returns the used bytes after a full collection. */
     static long usedBytes() {
         System.gc();
         Runtime runtime = Runtime.getRuntime();
@@ -21,8 +22,9 @@
     }
 
     /**
-     * The same once what was closed before is no longer held, and no more is let go of: event loops that were
-     * told to end do so some time later.
+     * Returns the used bytes after all given references have been cleared and the size is stable, or the last
+     * size seen if that takes over 10 s. Event loops release their objects only some time after their
+     * shutdown was requested.
      */
     static long usedBytesWithout(List<WeakReference<?>> closed) throws InterruptedException {
         long previousBytes = usedBytes();
--- a/lab/src/main/java/passhatch/lab/control/PeakRate.java
+++ b/lab/src/main/java/passhatch/lab/control/PeakRate.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** The highest rate of events over a sliding tenth of a second. */
+/** The highest rate of events over a sliding window of 0.1 s. Not thread-safe. */
 final class PeakRate {
 
     private static final long WINDOW_NS = TimeUnit.MILLISECONDS.toNanos(100);
@@ -11,7 +11,7 @@
     private final ArrayDeque<Long> recentNs = new ArrayDeque<>();
     private int maxEvents;
 
-    /** An event, at a time that is not before that of the last one. */
+    /** Records an event at a time in nanoseconds; times must not decrease. */
     void add(long atNs) {
         recentNs.add(atNs);
         while (recentNs.peek() <= atNs - WINDOW_NS) {
@@ -20,6 +20,7 @@
         maxEvents = Math.max(maxEvents, recentNs.size());
     }
 
+    /** Highest rate so far, in events per second. */
     double peakPerSecond() {
         return maxEvents * (double) TimeUnit.SECONDS.toNanos(1) / WINDOW_NS;
     }
--- a/lab/src/main/java/passhatch/lab/control/Propagation.java
+++ b/lab/src/main/java/passhatch/lab/control/Propagation.java
@@ -12,20 +12,24 @@
 import passhatch.Balancer.Server;
 import passhatch.Balancer.ServerStatus;
 
-/** How changes come into force at all proxies: when each module has taken in each of them. */
+/** Tracks when the decision modules of all proxies have applied a set of changes. */
 final class Propagation {
 
     private final Map<String, ServerStatus> expected;
-    /** By proxy, what it has still to hear; each is touched by its proxy's event loop alone. */
+    /**
+     * Servers whose new status a proxy has not applied yet, by proxy; each set is used only by its proxy's
+     * event loop.
+     */
     private final List<Set<String>> pendingByProxy = new ArrayList<>();
     private final CountDownLatch unfinishedLatch;
     private final long startNs = System.nanoTime();
     private final AtomicLong lastCompletedNs = new AtomicLong(startNs);
 
     /**
-     * Counts from now on.
+     * Starts tracking; times count from now.
      *
-     * @param expected what each proxy's module is to be told, by server
+     * @param expected the new status of each changed server, by server id
+     * @param proxies number of proxies that must apply the changes
      */
     Propagation(Map<String, ServerStatus> expected, int proxies) {
         this.expected = Map.copyOf(expected);
@@ -35,7 +39,7 @@
         }
     }
 
-    /** A proxy's module has taken in a list, or changes. */
+    /** Records that the decision module of a proxy has applied a list or changes. */
     void listApplied(int proxy, List<Server> servers) {
         Set<String> pending = pendingByProxy.get(proxy);
         if (pending.isEmpty()) {
@@ -52,17 +56,19 @@
         }
     }
 
-    /** Waits until all is in force everywhere; false where that took too long. */
+    /** Waits until all proxies have applied all changes; returns false if the time-out expires first. */
     boolean await(Duration timeout) throws InterruptedException {
         return unfinishedLatch.await(timeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Proxies at which something is not in force. */
+    /** Number of proxies that have not applied all changes. */
     long unfinishedProxies() {
         return unfinishedLatch.getCount();
     }
 
-    /** From the beginning until all was in force at the last proxy that has it. */
+    /**
+     * Time from the start until the last proxy that has applied all changes had done so; zero if none has.
+     */
     Duration timeUntilLast() {
         return Duration.ofNanos(lastCompletedNs.get() - startNs);
     }
--- a/lab/src/main/java/passhatch/lab/control/ProxyFleet.java
+++ b/lab/src/main/java/passhatch/lab/control/ProxyFleet.java
@@ -20,12 +20,12 @@
 import passhatch.SettingsBuilder;
 import passhatch.proxy.WatchingProxy;
 
-/** Simulated proxies that watch one discovery, many to an event loop. */
+/** Simulated proxies that watch one discovery; many proxies share an event loop. */
 final class ProxyFleet implements Closeable {
 
     private static final long LATENCY_GOAL_US = 400_000;
     private static final long DEADLINE_US = 1_000_000;
-    /** The rules of a site in service; a proxy that has to ask discovery may go without for 10 s. */
+    // The rules of a site in service, where a proxy that must ask discovery does so at least every 10 s.
     private static final long MAX_CALL_INTERVAL_US = 10_000_000;
     private static final long DRAIN_GRACE_US = 2_500_000;
     private static final double SLOW_START_INITIAL_SHARE = 0.32;
@@ -44,12 +44,13 @@
     private int startedProxies;
 
     /**
-     * No proxy yet.
+     * Creates a fleet without proxies.
      *
-     * @param discoveryPushes whether discovery counts as one that pushes: then the client repeats its calls
-     * by itself,
-     *     else the module says when
-     * @param seed of the first proxy
+     * @param eventLoops number of event loops, each with one thread
+     * @param discovery address of discovery
+     * @param discoveryPushes whether the proxies treat discovery as a service that pushes changes: then the
+     *     discovery client repeats its calls by itself, otherwise the decision module says when to call
+     * @param seed random seed of the first proxy; each further proxy uses the next one
      */
     ProxyFleet(int eventLoops, InetSocketAddress discovery, BackendList backends, boolean discoveryPushes,
             long seed) {
@@ -61,20 +62,22 @@
         this.seed = seed;
     }
 
+    /** CPU time of the proxies' event loops. */
     EventLoopCpuTime cpuTime() {
         return new EventLoopCpuTime(group);
     }
 
+    /** Number of proxies started so far. */
     int size() {
         return startedProxies;
     }
 
-    /** Has all lists from now on counted there. */
+    /** Reports all lists that proxies apply from now on to the tracker. */
     void trackWith(Propagation tracker) {
         propagation = tracker;
     }
 
-    /** Starts so many more proxies, and waits for nothing. */
+    /** Starts {@code count} more proxies without waiting for them. */
     void start(int count) {
         for (int i = 0; i < count; i++) {
             int index = startedProxies++;
@@ -84,7 +87,7 @@
         }
     }
 
-    /** As many replicas as backends, spread over the zones. */
+    /** Settings of one replica; there are as many replicas as backends, spread over the zones. */
     private Settings createSettings(int index) {
         return new SettingsBuilder()
                 .requestClass(new RequestClass("any", LATENCY_GOAL_US, DEADLINE_US, 1, 0, Effect.SAFE,
@@ -99,7 +102,9 @@
                 .build();
     }
 
-    /** What one proxy's module takes in. */
+    /**
+     * Reports the lists that one proxy's decision module applies; a cached list at the start does not count.
+     */
     private final class ListObserver implements WatchingProxy.Observer {
         private final int proxyIndex;
 
--- a/lab/src/main/java/passhatch/lab/control/WatchFault.java
+++ b/lab/src/main/java/passhatch/lab/control/WatchFault.java
@@ -3,13 +3,15 @@
 import java.time.Duration;
 import passhatch.lab.discovery.DiscoveryServer;
 
-/** What makes proxies open all their watches anew. */
+/** A fault that makes all proxies reopen their watches. */
 enum WatchFault {
-    /** All open watches say nothing more; discovery itself is well. */
+    /** All open watches stay open but send nothing more; discovery itself works. */
     SILENCE("silence"),
-    /** All open watches are reset. */
+    /** The connections of all open watches are reset. */
     RESET("reset"),
-    /** Discovery dies and comes back without its history: whoever missed something gets the whole list. */
+    /**
+     * Discovery is down and restarts without its history, so callers that missed a change get the full list.
+     */
     OUTAGE("outage");
 
     private final String title;
@@ -18,11 +20,17 @@
         this.title = title;
     }
 
+    /** The name of the fault in results. */
     String title() {
         return title;
     }
 
-    /** Begins it, and lets it last; returns when calls may succeed again at the next step. */
+    /**
+     * Injects the fault.
+     *
+     * @param outage how long {@link #OUTAGE} blocks with discovery down; discovery stays down until
+     *     {@link #end}
+     */
     void begin(DiscoveryServer discovery, Duration outage) throws InterruptedException {
         switch (this) {
             case SILENCE -> discovery.silenceWatches(Integer.MAX_VALUE);
@@ -34,7 +42,7 @@
         }
     }
 
-    /** Ends what does not end by itself. */
+    /** Restarts discovery after {@link #OUTAGE}; the other faults need no repair. */
     void end(DiscoveryServer discovery) {
         if (this == OUTAGE) {
             discovery.restart(false);
--- a/lab/src/main/java/passhatch/lab/control/package-info.java
+++ b/lab/src/main/java/passhatch/lab/control/package-info.java
@@ -1,2 +1,4 @@
-/** What the control path costs: discovery, its watches, and lists and changes at the proxies. */
+/**
+ * Measures the costs of the control path: discovery, its watches, and the lists and changes at the proxies.
+ */
 package passhatch.lab.control;
--- a/lab/src/main/java/passhatch/lab/discovery/ByteCounter.java
+++ b/lab/src/main/java/passhatch/lab/discovery/ByteCounter.java
@@ -5,11 +5,12 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPromise;
 
-/** Counts the bytes of a connection, next to its socket. */
+/** Reports the bytes read from and written to a connection; the first handler of its pipeline. */
 final class ByteCounter extends ChannelDuplexHandler {
 
     private final DiscoveryListener listener;
 
+    /** Creates a counter that reports to the listener. */
     ByteCounter(DiscoveryListener listener) {
         this.listener = listener;
     }
--- a/lab/src/main/java/passhatch/lab/discovery/CallCosts.java
+++ b/lab/src/main/java/passhatch/lab/discovery/CallCosts.java
@@ -3,27 +3,28 @@
 import java.time.Duration;
 
 /**
- * What a call costs the service, which handles calls one after another. Handing a change to the watches that
- * are open is no call.
+ * The simulated costs of calls to discovery, which serves one call at a time. Sending a change to open
+ * watches is not a call and costs nothing.
  *
- * @param perCall time for each call
- * @param perLine and for each backend in its answer
- * @param maxWait a call that waited for so long is answered 503
- * @param maxQueueLength a call that finds so many waiting is answered 503 at once
- * @param perRejection time for each call that is answered 503
+ * @param perCall service time of each call
+ * @param perLine additional service time for each backend in the response
+ * @param maxWait a call that has been queued for this long is answered 503
+ * @param maxQueueLength a call that finds this many calls queued is answered 503 at once
+ * @param perRejection service time of each call that is rejected because the queue is full
  */
 public record CallCosts(Duration perCall, Duration perLine, Duration maxWait, int maxQueueLength,
         Duration perRejection) {
 
-    /** Costs where it costs nothing to turn a call away. */
+    /** Creates costs without service time for rejected calls. */
     public CallCosts(Duration perCall, Duration perLine, Duration maxWait, int maxQueueLength) {
         this(perCall, perLine, maxWait, maxQueueLength, Duration.ZERO);
     }
 
-    /** Calls that cost nothing but the processor time that they take. */
+    /** No simulated service time; calls cost only the CPU time that they really take. */
     public static final CallCosts NONE = new CallCosts(Duration.ZERO, Duration.ZERO, Duration.ofSeconds(2),
             Integer.MAX_VALUE);
 
+    /** Returns the service time in nanoseconds of a call whose response has the given number of backends. */
     long serviceTimeNs(int lines) {
         return perCall.toNanos() + perLine.toNanos() * lines;
     }
--- a/lab/src/main/java/passhatch/lab/discovery/CallHandler.java
+++ b/lab/src/main/java/passhatch/lab/discovery/CallHandler.java
@@ -23,16 +23,21 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.handler.timeout.IdleStateEvent;
 
-/** One connection of a caller: calls for the whole list, one after another, until one of them is a watch. */
+/**
+ * Handles one connection of a caller: calls for the full list, one after another, until one of them opens a
+ * watch. Runs in the event loop of the server.
+ */
 final class CallHandler extends SimpleChannelInboundHandler<HttpObject> {
 
     private static final String ENDPOINTS_PATH = "/v1/endpoints";
 
     private final DiscoveryServer server;
     private ChannelHandlerContext ctx;
-    /** Whether the caller keeps its connection after the answer to its latest call. */
+    /** Whether the caller keeps the connection open after the response to its latest call. */
     private boolean keepAlive = true;
+    /** Whether the connection is an open watch. */
     private boolean watching;
+    /** Whether a fault keeps the watch from sending anything. */
     private boolean silenced;
 
     CallHandler(DiscoveryServer server) {
@@ -66,7 +71,9 @@
         }
     }
 
-    /** The version that a watch is asked from; null, for the whole list, where there is none. */
+    /**
+     * Returns the version that a watch starts from, or null for the full list if it is missing or no number.
+     */
     private static Long requestedVersion(QueryStringDecoder query) {
         try {
             return Long.valueOf(query.parameters().get("from").get(0));
@@ -75,7 +82,7 @@
         }
     }
 
-    /** One call in the queue. */
+    /** One call of this connection in the queue. */
     private final class QueuedCall implements DiscoveryCallQueue.Call {
         private final boolean opensWatch;
         private final Long fromVersion;
@@ -142,29 +149,34 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // The caller broke off, or sends what is no HTTP: both may be, and the caller sees it.
+        // The caller reset the connection or did not send valid HTTP. Both can happen and the caller notices
+        // the close.
         ctx.close();
     }
 
+    /** Whether the connection is an open watch, silenced or not. */
     boolean isWatch() {
         return watching;
     }
 
-    /** Whether it is an open watch that still says something. */
+    /** Whether the connection is an open watch that still receives changes. */
     boolean receivesChanges() {
         return watching && !silenced;
     }
 
+    /** Sends a change if the connection is an open watch and not silenced. */
     void sendChange(DiscoveryServer.EncodedUpdate change) {
         if (receivesChanges()) {
             ctx.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(change.bytes())));
         }
     }
 
+    /** Keeps the watch open without sending anything from now on. */
     void silence() {
         silenced = true;
     }
 
+    /** Ends an open watch with a complete response and closes the connection. */
     void endWatch() {
         if (watching) {
             watching = false;
@@ -172,6 +184,7 @@
         }
     }
 
+    /** Closes the connection with a TCP reset. */
     void reset() {
         watching = false;
         ctx.channel().config().setOption(ChannelOption.SO_LINGER, 0);
--- a/lab/src/main/java/passhatch/lab/discovery/DiscoveryCallQueue.java
+++ b/lab/src/main/java/passhatch/lab/discovery/DiscoveryCallQueue.java
@@ -6,26 +6,32 @@
 import java.util.function.LongSupplier;
 
 /**
- * Calls that are handled one after another, the oldest first. Due times are kept apart from the loop's
- * timers: those ring a millisecond late, which must not add up over calls that take less.
+ * A FIFO queue of calls that are served one at a time, with simulated service times. End times are computed
+ * independently of when the event loop's timers run: these are late by about a millisecond, which must not
+ * add up over calls whose service time is shorter. Used only in the event loop.
  */
 final class DiscoveryCallQueue {
 
-    /** One call. */
+    /** A call to discovery. */
     interface Call {
-        /** Backends in its answer, as of now. */
+        /** Number of backends in the response if it were sent now. */
         int responseLines();
 
-        /** The caller has gone, and nothing is done for it. */
+        /** Whether the caller has disconnected; then the call takes no service time and gets no response. */
         boolean isDisconnected();
 
-        /** Its turn is over after it waited for so long, its own time included. */
+        /**
+         * Sends the response at the end of the service time.
+         *
+         * @param waitedNs nanoseconds since the call was queued, including its service time
+         */
         void serve(long waitedNs);
 
-        /** It waited too long, or too many did before it. */
+        /** Answers 503 because the call was queued for too long or found the queue full. */
         void reject();
     }
 
+    /** A call and the time when it was queued. */
     private record QueuedCall(Call call, long queuedNs) { }
 
     private final EventLoop loop;
@@ -33,9 +39,10 @@
     private final CallCosts costs;
     private final ArrayDeque<QueuedCall> queuedCalls = new ArrayDeque<>();
     private QueuedCall inService;
-    /** When the call in service is done, or the last one was. */
+    /** End of the service time of the current call or, if there is none, of the last one. */
     private long serviceEndNs;
 
+    /** Creates an empty queue; {@code nanoClock} returns the current time in nanoseconds. */
     DiscoveryCallQueue(EventLoop loop, LongSupplier nanoClock, CallCosts costs) {
         this.loop = loop;
         this.nanoClock = nanoClock;
@@ -43,15 +50,16 @@
         this.serviceEndNs = nanoClock.getAsLong();
     }
 
+    /** Number of queued calls without the one in service. */
     int length() {
         return queuedCalls.size();
     }
 
+    /** Queues a call, or rejects it if the queue is full. */
     void add(Call call) {
         long nowNs = nanoClock.getAsLong();
         if (queuedCalls.size() >= costs.maxQueueLength()) {
-            // Whoever turns calls away does not serve others meanwhile: a crowd that asks again at once
-            // takes the time of those that wait.
+            // Rejecting a call takes service time too, so callers that retry at once delay the queued calls.
             serviceEndNs = Math.max(serviceEndNs, nowNs) + costs.perRejection().toNanos();
             call.reject();
             if (inService != null) {
@@ -67,7 +75,7 @@
         }
     }
 
-    /** Forgets all calls that wait, as at a crash. */
+    /** Drops all calls without a response, as in a crash. */
     void clear() {
         queuedCalls.clear();
         inService = null;
@@ -77,7 +85,7 @@
         loop.schedule(this::advance, Math.max(0, delayNs), TimeUnit.NANOSECONDS);
     }
 
-    /** Does what has become due by now. */
+    /** Finishes, rejects and starts all calls that are due by now. */
     private void advance() {
         long nowNs = nanoClock.getAsLong();
         boolean started;
@@ -100,6 +108,7 @@
         }
     }
 
+    /** Starts the next call whose caller is still connected; returns false if there is none. */
     private boolean startNext() {
         do {
             inService = queuedCalls.poll();
--- a/lab/src/main/java/passhatch/lab/discovery/DiscoveryListener.java
+++ b/lab/src/main/java/passhatch/lab/discovery/DiscoveryListener.java
@@ -1,15 +1,18 @@
 package passhatch.lab.discovery;
 
-/** Hears what happens at a stand-in discovery, in its event loop. */
+/** Receives the events of a stand-in for discovery, in its event loop. */
 public interface DiscoveryListener {
 
-    /** Nobody listens. */
+    /** A listener that does nothing. */
     DiscoveryListener NONE = new DiscoveryListener() { };
 
-    /** A call came in and finds so many others waiting. */
+    /** A call arrived and found the given number of other calls queued. */
     default void callReceived(int queuedCalls) { }
 
-    /** A call got its answer, or the beginning of a watch, after it waited for so long in nanoseconds. */
+    /**
+     * A call got its response, or the first object of its watch, {@code waitedNs} nanoseconds after it
+     * arrived.
+     */
     default void callServed(long waitedNs) { }
 
     /** A call was answered 503. */
@@ -18,6 +21,6 @@
     /** Bytes were read from a caller. */
     default void bytesReceived(int bytes) { }
 
-    /** Bytes were written to a caller, HTTP's own included, TCP's not. */
+    /** Bytes were written to a caller, including HTTP heads and chunk framing but not TCP headers. */
     default void bytesSent(int bytes) { }
 }
--- a/lab/src/main/java/passhatch/lab/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/passhatch/lab/discovery/DiscoveryServer.java
@@ -25,27 +25,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stand-in for the discovery service on a loopback address, as the protocol page words it: the whole list,
- * and watches that tell each change. It handles calls one after another and can be made to fail. One event
- * loop owns all its state; the methods here may be called from any other thread and return when it is done.
+ * A stand-in for the discovery service on a loopback address that follows the protocol page: calls for the
+ * full list, and watches that receive each change. It serves one call at a time and can be made to fail. One
+ * event loop owns all its state; the public methods may be called from any other thread and return when the
+ * action is done.
  *
- * <p>A watch from the present version begins with an object that holds no change.
+ * <p>A watch from the current version starts with an object without changes.
  */
 public final class DiscoveryServer implements Closeable {
 
-    /** An empty line comes after so long without a change. */
+    /** A watch receives an empty line after this time without a change. */
     private static final int KEEP_ALIVE_INTERVAL_S = 2;
-    /** More changes are remembered than proxies may fall behind in a sitting. */
+    /** Larger than the number of changes by which a proxy can fall behind in an experiment. */
     private static final int MAX_HISTORY_VERSIONS = 10_000;
     private static final int ACCEPT_BACKLOG = 4_096;
 
-    /** How calls fare. */
+    /** How calls are handled. */
     public enum Mode {
-        /** They are handled. */
+        /** Calls are served. */
         SERVING,
-        /** Each is answered 503 at once. */
+        /** Each call is answered 503 at once. */
         FAILING,
-        /** They come in and get no answer. */
+        /** Calls are received and get no response. */
         SILENT
     }
 
@@ -57,16 +58,25 @@
     private final DiscoveryListener listener;
     private final DiscoveryCallQueue queue;
     private final Set<CallHandler> connections = new LinkedHashSet<>();
-    /** Answers by the version asked from, until the list changes; many callers ask from the same one. */
+    /**
+     * Encoded updates by the version they start from, cached until the list changes because many callers
+     * start from the same version.
+     */
     private final Map<Long, EncodedUpdate> updatesByVersion = new HashMap<>();
     private final InetSocketAddress address;
     private Channel serverChannel;
     private Mode mode = Mode.SERVING;
 
-    /** An update as it goes out. */
+    /** An update as it is sent, with its number of backends. */
     record EncodedUpdate(int lines, byte[] bytes) { }
 
-    /** Starts one that lists the endpoints, on a free port. */
+    /**
+     * Starts on a free port of the loopback address.
+     *
+     * @param endpoints the list at version 1
+     * @param costs simulated costs of calls
+     * @param indented whether messages are spread over several indented lines
+     */
     public DiscoveryServer(Collection<Endpoint> endpoints, CallCosts costs, boolean indented,
             DiscoveryListener listener) {
         this.list = new VersionedList(endpoints, MAX_HISTORY_VERSIONS);
@@ -94,43 +104,44 @@
                 .bind(bindAddress).syncUninterruptibly().channel();
     }
 
+    /** The address that it listens at; it stays the same after {@link #restart}. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** The loop that does all its work, to be asked for its processor time. */
+    /** The event loop that does all the work, for measuring its CPU time. */
     public EventLoop loop() {
         return loop;
     }
 
-    /** Changes some backends in one version and tells all watches; returns that version. */
+    /** Applies changes as one new version, sends them to all watches and returns the version. */
     public long change(List<Endpoint> changed) {
         return callInLoop(() -> {
             updatesByVersion.clear();
             ListUpdate update = list.change(changed);
             EncodedUpdate encoded = encode(update);
-            // A write that fails closes its connection, which then leaves the set.
+            // A copy, because a failed write closes its connection, which removes it from the set.
             List.copyOf(connections).forEach(handler -> handler.sendChange(encoded));
             return update.index();
         });
     }
 
-    /** The version of the list. */
+    /** Returns the current version of the list. */
     public long index() {
         return callInLoop(list::index);
     }
 
-    /** Watches that are open and not silenced. */
+    /** Returns the number of watches that are open and not silenced. */
     public int openWatches() {
         return callInLoop(() -> (int) connections.stream().filter(CallHandler::receivesChanges).count());
     }
 
-    /** Has calls fare so from now on. */
+    /** Sets how calls are handled from now on. */
     public void mode(Mode newMode) {
         callInLoop(() -> mode = newMode);
     }
 
-    /** Has that many of the open watches say nothing more, for as long as they stay open. */
+    /** Silences up to {@code maxWatches} open watches: they stay open and send nothing more. */
     public void silenceWatches(int maxWatches) {
         callInLoop(() -> {
             connections.stream().filter(CallHandler::receivesChanges).limit(maxWatches)
@@ -139,7 +150,7 @@
         });
     }
 
-    /** Ends all open watches, each with a whole answer. */
+    /** Ends all open watches, each with a complete response. */
     public void endWatches() {
         callInLoop(() -> {
             List.copyOf(connections).forEach(CallHandler::endWatch);
@@ -155,7 +166,7 @@
         });
     }
 
-    /** Dies: what is open is reset, new connections are refused. */
+    /** Simulates a crash: open connections are reset and new ones refused until {@link #restart}. */
     public synchronized void crash() {
         callInLoop(serverChannel::close).syncUninterruptibly();
         callInLoop(() -> {
@@ -166,9 +177,10 @@
     }
 
     /**
-     * Returns at the same address after it went down.
+     * Listens at the same address again after {@link #crash}.
      *
-     * @param keepHistory whether it still knows what changed since earlier versions
+     * @param keepHistory whether the changes since earlier versions are still known; otherwise watches from
+     *     these versions start with the full list
      */
     public synchronized void restart(boolean keepHistory) {
         callInLoop(() -> {
@@ -186,7 +198,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    // ---- for the handlers, in the loop
+    // Methods for the connection handlers, called in the event loop.
 
     Mode mode() {
         return mode;
@@ -200,7 +212,7 @@
         return listener;
     }
 
-    /** What answers a watch from a version, or with null a call for the whole list. */
+    /** Returns the changes since a version or, if it is null, the full list. */
     EncodedUpdate updateSince(Long version) {
         return updatesByVersion.computeIfAbsent(version == null ? -1 : version,
                 v -> encode(version == null ? list.fullList() : list.changesSince(version)));
--- a/lab/src/main/java/passhatch/lab/discovery/Endpoint.java
+++ b/lab/src/main/java/passhatch/lab/discovery/Endpoint.java
@@ -4,36 +4,36 @@
 import java.util.Map;
 
 /**
- * One backend as discovery lists it.
+ * A backend as discovery lists it.
  *
- * @param address where proxies reach it, an IP address and a port
- * @param weight 1.0 is usual
- * @param startedMs its last start, Unix time in milliseconds; 0 for long ago
+ * @param address IP address and port, separated by a colon
+ * @param weight usually 1.0
+ * @param startedMs Unix time of its last start in milliseconds; 0 if that is long ago
  */
 public record Endpoint(String name, String address, String zone, String machineType, int cell, Status status,
         double weight, long startedMs) {
 
-    /** What discovery says of a backend. */
+    /** Status of a backend. */
     public enum Status {
-        /** It serves. */
+        /** It accepts requests. */
         SERVING,
-        /** It finishes what it has. */
+        /** It finishes the requests that it has. */
         DRAINING,
-        /** It is no longer listed; only among changes. */
+        /** It was removed from the list; occurs only in changes. */
         DELETED
     }
 
-    /** A serving backend of the usual weight, started long ago. */
+    /** Creates a serving backend of weight 1.0 that started long ago. */
     public static Endpoint serving(String name, String address, String zone, String machineType, int cell) {
         return new Endpoint(name, address, zone, machineType, cell, Status.SERVING, 1.0, 0);
     }
 
-    /** The same backend in another state. */
+    /** Returns the same backend with another status. */
     public Endpoint withStatus(Status newStatus) {
         return new Endpoint(name, address, zone, machineType, cell, newStatus, weight, startedMs);
     }
 
-    /** The entry as discovery writes it. */
+    /** Returns the entry as in the JSON messages of discovery. */
     public Map<String, Object> toJson() {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("name", name);
--- a/lab/src/main/java/passhatch/lab/discovery/ListUpdate.java
+++ b/lab/src/main/java/passhatch/lab/discovery/ListUpdate.java
@@ -9,18 +9,18 @@
 import java.util.Map;
 
 /**
- * One message of discovery.
+ * A message of discovery with the full list or with changes.
  *
- * @param index the version of the list that it leads to
- * @param snapshot true where it is the whole list, false where it holds what has changed
+ * @param index version of the list after this message
+ * @param snapshot true for the full list, false for changes
  */
 record ListUpdate(long index, boolean snapshot, List<Endpoint> endpoints) {
 
-    /** How a message is laid out. Both are allowed, and mean the same. */
+    /** Layout of the JSON text. The protocol allows both, with the same meaning. */
     enum Layout {
-        /** All of it on one line. */
+        /** The message on one line. */
         LINE(JSON.std),
-        /** Over several lines, indented. */
+        /** The message on several indented lines. */
         INDENTED(JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT));
 
         private final JSON writer;
@@ -30,7 +30,7 @@
         }
     }
 
-    /** The message as bytes, with the end of its last line. */
+    /** Returns the message as UTF-8, ending with a line feed. */
     byte[] encode(Layout layout) {
         Map<String, Object> json = new LinkedHashMap<>();
         json.put("index", index);
--- a/lab/src/main/java/passhatch/lab/discovery/VersionedList.java
+++ b/lab/src/main/java/passhatch/lab/discovery/VersionedList.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The list of backends with its versions, and as much of its past as is remembered. */
+/** The list of backends with a version number and a limited history of changes. Not thread-safe. */
 final class VersionedList {
 
-    /** What one version changed. */
+    /** The changes of one version. */
     private record VersionChange(long index, List<Endpoint> endpoints) { }
 
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
@@ -18,20 +18,22 @@
     private long index = 1;
 
     /**
-     * A list at version 1.
+     * Creates a list at version 1.
      *
-     * @param maxHistoryVersions versions whose changes are remembered; who asks from an older one gets all
+     * @param maxHistoryVersions number of versions whose changes are kept; an older version gets the full
+     *     list
      */
     VersionedList(Collection<Endpoint> initialEndpoints, int maxHistoryVersions) {
         initialEndpoints.forEach(e -> endpoints.put(e.name(), e));
         this.maxHistoryVersions = maxHistoryVersions;
     }
 
+    /** Returns the current version. */
     long index() {
         return index;
     }
 
-    /** Makes a new version and returns what it changed. */
+    /** Applies changes as a new version and returns them as an update. */
     ListUpdate change(List<Endpoint> changed) {
         index++;
         for (Endpoint endpoint : changed) {
@@ -48,16 +50,20 @@
         return new ListUpdate(index, false, List.copyOf(changed));
     }
 
-    /** Remembers no version but the present one, as after a restart. */
+    /** Drops the changes of all versions, as after a restart. */
     void forgetHistory() {
         history.clear();
     }
 
+    /** Returns all backends. */
     ListUpdate fullList() {
         return new ListUpdate(index, true, List.copyOf(endpoints.values()));
     }
 
-    /** What changed after a version, the latest state of each; all where that is not remembered. */
+    /**
+     * Returns the latest state of each backend that changed after a version, or the full list if these
+     * changes are not in the history or the version does not exist.
+     */
     ListUpdate changesSince(long version) {
         long oldest = history.isEmpty() ? index : history.peek().index() - 1;
         if (version < oldest || version > index) {
--- a/lab/src/main/java/passhatch/lab/discovery/package-info.java
+++ b/lab/src/main/java/passhatch/lab/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in for the discovery service, for tests, measurements and emulations on loopback addresses. */
+/** A stand-in for the discovery service on loopback addresses, for tests, benchmarks and fault soaks. */
 package passhatch.lab.discovery;
--- a/lab/src/main/java/passhatch/lab/latency/BackendProcess.java
+++ b/lab/src/main/java/passhatch/lab/latency/BackendProcess.java
@@ -10,12 +10,13 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Stand-in backends in a process of their own, which ends with this one. */
+/** Runs {@link StubBackends} in a child process, which ends when this process does. */
 final class BackendProcess implements Closeable {
 
     private final Process process;
     private final List<InetSocketAddress> addresses;
 
+    /** Starts a process with {@code count} backends and waits until they listen. */
     BackendProcess(int count, CoreAssignment cores) throws IOException {
         process = new ProcessBuilder(cores.onBackendsCore(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
@@ -24,7 +25,7 @@
         BufferedReader output = process.inputReader(StandardCharsets.UTF_8);
         String ports = output.readLine();
         if (ports == null) {
-            throw new IOException("the backends did not start");
+            throw new IOException("the backend process ended before it printed its ports");
         }
         addresses = Arrays.stream(ports.split(" ")).map(port -> new InetSocketAddress(
                 InetAddress.getLoopbackAddress(), Integer.parseInt(port))).toList();
--- a/lab/src/main/java/passhatch/lab/latency/CoreAssignment.java
+++ b/lab/src/main/java/passhatch/lab/latency/CoreAssignment.java
@@ -9,9 +9,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Keeps proxy, backends and load on cores apart, out of those that this process may use: one for the proxy,
- * one for the backends, the rest for the load. With two the load shares with the backends; with one, or
- * without taskset, nothing is pinned.
+ * Assigns separate cores to proxy, backends and load, out of the cores that this process may use: one for the
+ * proxy, one for the backends, the others for the load. With two cores the load shares one with the backends;
+ * with one core, or without the taskset command, nothing is pinned.
  */
 final class CoreAssignment {
 
@@ -24,6 +24,10 @@
         this.allowedCores = allowedCores;
     }
 
+    /**
+     * Reads the cores that this process may use; the result pins nothing if they or taskset are not
+     * available.
+     */
     static CoreAssignment detect() throws IOException, InterruptedException {
         if (!Files.isReadable(PROCESS_STATUS) || !hasTaskset()) {
             return new CoreAssignment(List.of());
@@ -44,7 +48,7 @@
         }
     }
 
-    /** Reads a list such as 0-3,6. */
+    /** Parses a list of cores such as 0-3,6. */
     static List<Integer> parse(String text) {
         List<Integer> cores = new ArrayList<>();
         for (String range : text.split(",")) {
@@ -72,12 +76,12 @@
                 : formatList(allowedCores.subList(2, allowedCores.size()));
     }
 
-    /** The command on the proxy's core. */
+    /** Returns the command that runs the given one on the proxy's core. */
     List<String> onProxyCore(List<String> command) {
         return pinnedCommand(command, isPinning() ? proxyCore() : null);
     }
 
-    /** The command on the backends' core. */
+    /** Returns the command that runs the given one on the backends' core. */
     List<String> onBackendsCore(List<String> command) {
         return pinnedCommand(command, isPinning() ? backendsCore() : null);
     }
@@ -91,14 +95,14 @@
         return pinned;
     }
 
-    /** Keeps this process, which is the load, to its own cores. */
+    /** Pins this process, which generates the load, to the cores of the load. */
     void pinLoad() throws IOException {
         if (isPinning()) {
             pinThisProcess(loadCores());
         }
     }
 
-    /** Lets this process use all its cores again. */
+    /** Lets this process use all its allowed cores again. */
     void unpinLoad() throws IOException {
         if (isPinning()) {
             pinThisProcess(formatList(allowedCores));
@@ -110,7 +114,7 @@
                 Long.toString(ProcessHandle.current().pid()))
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectErrorStream(true).start();
         if (taskset.onExit().join().exitValue() != 0) {
-            throw new IOException("taskset could not pin this process to " + cores);
+            throw new IOException("taskset could not pin this process to cores " + cores);
         }
     }
 
--- a/lab/src/main/java/passhatch/lab/latency/LatencyBenchmark.java
+++ b/lab/src/main/java/passhatch/lab/latency/LatencyBenchmark.java
@@ -19,14 +19,15 @@
 import passhatch.lab.discovery.Endpoint;
 
 /**
- * Measures what a proxy in a process of its own adds to a call: in each run the same load goes to a backend
- * directly and, beside it, through the proxy.
+ * Measures the latency that a proxy in its own process adds to a call. Each run sends the same load directly
+ * to a backend and, at the same time, through the proxy.
  */
 public final class LatencyBenchmark implements Closeable {
 
     private static final int BACKENDS = 10;
-    /** Connections of each load; well under what the proxy may hold. */
+    /** Connections of each load, well below the proxy's limit of sockets. */
     private static final int MAX_CONNECTIONS = 256;
+    /** How long a load waits for responses after its last request. */
     private static final Duration RESPONSE_GRACE = Duration.ofSeconds(6);
     private static final Duration WARM_UP_TIME = Duration.ofSeconds(4);
     private static final double WARM_UP_PER_SECOND = 400;
@@ -34,10 +35,14 @@
     private static final double FIRST_RAMP_PER_SECOND = 500;
     private static final double RAMP_GROWTH = 1.5;
     private static final int MAX_RAMP_STEPS = 10;
-    /** A step is kept while so much of what was planned is served, at this time at most. */
+    /**
+     * Part of the planned requests that must be served at a sustained rate, with a latency within
+     * {@link #MAX_P99_MS}.
+     */
     private static final double MIN_SERVED_RATIO = 0.99;
+    /** Highest 99th percentile of the latency at a sustained rate, in milliseconds. */
     private static final double MAX_P99_MS = 100;
-    /** A proxy that uses so much of its core is full. */
+    /** The ramp ends when the proxy uses this part of its core. */
     private static final double FULL_CORE_UTILIZATION = 0.95;
 
     private final Results results;
@@ -50,30 +55,34 @@
     private final OpenLoopLoad proxyLoad;
 
     /**
-     * What the proxy was found to carry.
+     * The capacity of the proxy.
      *
-     * @param requestsPerCpuSecond requests for each second of processor time, at the highest rate it kept up
-     * with
-     * @param sustainedPerSecond that rate, a second
+     * @param requestsPerCpuSecond requests per second of CPU time at the highest sustained rate
+     * @param sustainedPerSecond the highest sustained rate, in requests per second
      */
     private record Capacity(double requestsPerCpuSecond, double sustainedPerSecond) { }
 
-    /** One load through the proxy. */
+    /**
+     * The result of one load through the proxy, its duration, and the CPU time of the proxy, both in seconds.
+     */
     private record LoadStep(LoadResult result, double seconds, double cpuSeconds) {
+        /** Whether the proxy kept up with the load. */
         boolean isSustained() {
             return result.served() >= MIN_SERVED_RATIO * result.planned()
                     && result.latencyUs().getValueAtPercentile(99) / 1e3 <= MAX_P99_MS;
         }
 
+        /** The part of its core that the proxy used. */
         double coreUtilization() {
             return cpuSeconds / seconds;
         }
     }
 
     /**
-     * Starts the proxy and its backends.
+     * Starts the proxy, its backends and a stand-in for discovery.
      *
-     * @param root the project's folder, with the service built
+     * @param root root directory of the project, with the service built
+     * @param progress receives a line of text before each step
      */
     public LatencyBenchmark(Path root, Results results, Consumer<String> progress)
             throws IOException, InterruptedException {
@@ -103,9 +112,10 @@
     }
 
     /**
-     * Looks for what one core of the proxy carries, then measures at a third and two thirds of it.
+     * Finds the capacity of one core of the proxy, then measures at one third and two thirds of it.
      *
-     * @param duration of each run
+     * @param runs number of runs at each rate
+     * @param duration length of each run
      */
     public void run(int runs, Duration duration) throws InterruptedException {
         progress.accept("warming up");
@@ -124,7 +134,9 @@
         }
     }
 
-    /** Raises the rate step by step while the proxy keeps up with it. */
+    /**
+     * Raises the rate step by step while the proxy keeps up with it, and writes the capacity to the results.
+     */
     private Capacity findCapacity() throws InterruptedException {
         LoadStep sustained = null;
         String stopReason = "the ramp's last step";
@@ -132,7 +144,7 @@
         for (int i = 0; i < MAX_RAMP_STEPS; i++, perSecond *= RAMP_GROWTH) {
             LoadStep step = runRampStep(perSecond);
             if (!step.isSustained()) {
-                // Something else on the machine may have been in its way.
+                // Another process on the machine may have slowed the proxy, so the step is repeated once.
                 step = runRampStep(perSecond);
             }
             if (!step.isSustained()) {
--- a/lab/src/main/java/passhatch/lab/latency/LoadResult.java
+++ b/lab/src/main/java/passhatch/lab/latency/LoadResult.java
@@ -3,9 +3,10 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** What became of a load. It is written by one thread, and read when the load is over. */
+/** The result of a load. Written by one thread and read only after the load has ended. */
 final class LoadResult {
 
+    /** Longest time that the histograms can hold. */
     private static final long MAX_RECORDED_US = TimeUnit.MINUTES.toMicros(2);
     private static final int SIGNIFICANT_DIGITS = 3;
 
@@ -15,49 +16,56 @@
     private int sent;
     private int notServed;
 
+    /** Creates the result of a load of {@code planned} requests. */
     LoadResult(int planned) {
         this.planned = planned;
     }
 
+    /** Records that a request was written this long after its planned time. */
     void sent(long sendDelayNs) {
         sent++;
         sendDelayUs.recordValue(TimeUnit.NANOSECONDS.toMicros(sendDelayNs));
     }
 
+    /** Records that a request was answered 200 this long after its planned time. */
     void served(long latencyNs) {
         latencyUs.recordValue(TimeUnit.NANOSECONDS.toMicros(latencyNs));
     }
 
+    /** Records that a request ended in any other way. */
     void notServed() {
         notServed++;
     }
 
-    /** Requests that were to be sent. */
+    /** Number of requests that the load planned to send. */
     int planned() {
         return planned;
     }
 
-    /** Requests that were written to a connection. */
+    /** Number of requests that were written to a connection. */
     int sent() {
         return sent;
     }
 
-    /** Requests that were answered 200. */
+    /** Number of requests that were answered 200. */
     int served() {
         return (int) latencyUs.getTotalCount();
     }
 
-    /** Requests that ended in another way. */
+    /** Number of requests that have ended, served or not. */
     int ended() {
         return served() + notServed;
     }
 
-    /** From when a request was planned to the last byte of its answer, microseconds; answers of 200 alone. */
+    /**
+     * Time from a request's planned time to the last byte of its response, in microseconds; only for status
+     * 200.
+     */
     Histogram latencyUs() {
         return latencyUs;
     }
 
-    /** How long after its planned time each request was written, microseconds. */
+    /** Time from each request's planned time until it was written, in microseconds. */
     Histogram sendDelayUs() {
         return sendDelayUs;
     }
--- a/lab/src/main/java/passhatch/lab/latency/OpenLoopLoad.java
+++ b/lab/src/main/java/passhatch/lab/latency/OpenLoopLoad.java
@@ -35,9 +35,10 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Requests at times that are planned ahead at a fixed rate, whatever becomes of those before: one that is
- * late because others are slow counts its waiting. Like a client of the protocol page it sends one request at
- * a time on a connection, keeps its connections, and opens another when all are busy.
+ * An open-loop load: requests are planned at a fixed rate, independently of the responses to earlier ones.
+ * The latency of a request that is sent late because others are slow includes that delay. Like a client in
+ * the protocol page, the load sends one request at a time on a connection, keeps connections open, and opens
+ * another one when all are busy.
  */
 final class OpenLoopLoad implements Closeable {
 
@@ -47,15 +48,15 @@
     private final InetSocketAddress target;
     private final int maxConnections;
     private final SplittableRandom random;
-    // Touched by the event loop alone.
+    // The following fields are used only in the event loop.
     private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
     private final ArrayDeque<PlannedRequest> queuedRequests = new ArrayDeque<>();
     private int connectionCount;
 
-    /** One request of a load. */
+    /** A request and the time at which it is to be sent. */
     private record PlannedRequest(LoadRun run, long plannedNs) { }
 
-    /** One load. */
+    /** One run of the load; it is complete when all planned requests have ended. */
     private static final class LoadRun {
         final LoadResult result;
         final CompletableFuture<Void> completion = new CompletableFuture<>();
@@ -72,10 +73,10 @@
     }
 
     /**
-     * A load on one address.
+     * Creates a load on one address.
      *
-     * @param maxConnections beyond these, requests wait here for one to be free
-     * @param seed of the requests' ids, which no other load may share
+     * @param maxConnections limit of connections; when all are busy, requests are queued in the load
+     * @param seed random seed of the request ids; loads that run at the same time need different ones
      */
     OpenLoopLoad(InetSocketAddress target, int maxConnections, long seed) {
         this.target = target;
@@ -83,7 +84,11 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Sends at a rate for a time, then waits so long at most for what is out. */
+    /**
+     * Sends requests at a rate for a duration, then waits for the responses.
+     *
+     * @param grace longest wait for responses after the last request was planned
+     */
     LoadResult run(double perSecond, Duration duration, Duration grace) throws InterruptedException {
         int planned = (int) Math.round(perSecond * duration.toNanos() / 1e9);
         double intervalNs = TimeUnit.SECONDS.toNanos(1) / perSecond;
@@ -102,11 +107,12 @@
         try {
             run.completion.get(grace.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException graceExpired) {
-            // What is still out then is neither served nor ended, and the result shows it.
+            // Requests still in flight count neither as served nor as ended in the result.
         } catch (ExecutionException unexpected) {
             throw new IllegalStateException(unexpected);
         }
-        // Its last steps are over once the loop gets to this one.
+        // Waits until the event loop has run all tasks that were submitted before, so that the result is
+        // final.
         loop.submit(() -> { }).syncUninterruptibly();
         return run.result;
     }
@@ -128,7 +134,7 @@
         request.run.completeIfAllEnded();
     }
 
-    /** A connection, and the request that is out on it. */
+    /** A connection and the request in flight on it. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private Channel channel;
         private PlannedRequest inFlight;
--- a/lab/src/main/java/passhatch/lab/latency/ProxyProcess.java
+++ b/lab/src/main/java/passhatch/lab/latency/ProxyProcess.java
@@ -20,14 +20,15 @@
 import java.util.stream.Stream;
 import passhatch.lab.DeployFile;
 
-/** A proxy in a process of its own, started as the deploy file's {@code run} says. */
+/** A proxy in its own process, started with the {@code run} command of the deploy file. */
 final class ProxyProcess implements Closeable {
 
-    /** Requests of its only class, which is safe to repeat. */
+    /** Path of requests of the only request class, which is safe to repeat. */
     static final String PATH = "/any/1";
     static final int DEADLINE_MS = 5_000;
-    /** The only zone and machine kind that it is told of. */
+    /** The only zone in the proxy's settings. */
     static final String ZONE = "a";
+    /** The only machine type in the proxy's settings. */
     static final String MACHINE_TYPE = "m";
     private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
     private static final int POLL_INTERVAL_MS = 50;
@@ -38,9 +39,12 @@
     private final Path workingDirectory;
 
     /**
-     * Starts one and waits until it is ready. What it says goes to a file in the folder logs.
+     * Starts a proxy and waits until it is ready. Its output goes to logs/latency-proxy.log.
      *
-     * @param root the project's folder, in which {@code run} is started
+     * @param root root directory of the project, in which the {@code run} command is started
+     * @param cores decides which core the proxy runs on
+     * @param discovery address of discovery
+     * @throws IOException if the proxy cannot be started or is not ready within 30 s
      */
     ProxyProcess(Path root, CoreAssignment cores, InetSocketAddress discovery)
             throws IOException, InterruptedException {
@@ -95,19 +99,20 @@
                     return;
                 }
             } catch (IOException notListening) {
-                // It does not listen yet.
+                // The proxy does not listen yet; the request is repeated after a pause.
             }
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         close();
-        throw new IOException("the proxy did not get ready; logs/latency-proxy.log says why");
+        throw new IOException("the proxy ended or was not ready in time; see logs/latency-proxy.log");
     }
 
+    /** The address that the proxy listens at. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Processor time that it used so far; the system counts in hundredths of a second. */
+    /** CPU time that the proxy has used so far; the system counts it in steps of 10 ms. */
     Duration cpuTime() {
         return process.info().totalCpuDuration().orElseThrow();
     }
--- a/lab/src/main/java/passhatch/lab/latency/StubBackends.java
+++ b/lab/src/main/java/passhatch/lab/latency/StubBackends.java
@@ -27,7 +27,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Backends on loopback that answer every request at once with the same small body, on one thread. */
+/**
+ * Backends on loopback that answer every request at once with the same 128-byte body, all in one event loop.
+ */
 public final class StubBackends implements Closeable {
 
     private static final int BODY_BYTES = 128;
@@ -37,10 +39,12 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
             new DefaultThreadFactory("backends", true), NioIoHandler.newFactory());
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    /** Touched by the event loop alone: answers held back, and whether they are. */
+    /** Responses that are delayed while the backends are stalled; used only in the event loop. */
     private final List<Runnable> delayedResponses = new ArrayList<>();
+    /** Whether responses are delayed; used only in the event loop. */
     private boolean stalled;
 
+    /** Starts {@code count} backends on free ports. */
     StubBackends(int count) {
         ServerBootstrap bootstrap = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -56,13 +60,16 @@
         }
     }
 
-    /** Runs as many as the argument says, prints their ports on a line, and ends with standard input. */
+    /**
+     * Starts as many backends as the first argument says, prints their ports on one line, and runs until the
+     * end of standard input.
+     */
     public static void main(String[] args) throws IOException {
         try (StubBackends backends = new StubBackends(Integer.parseInt(args[0]))) {
             System.out.println(String.join(" ",
                     backends.addresses.stream().map(a -> Integer.toString(a.getPort())).toList()));
             while (System.in.read() >= 0) {
-                // Nothing is said there; its end is what counts.
+                // Input is ignored; only its end matters.
             }
         }
     }
@@ -71,7 +78,7 @@
         return List.copyOf(addresses);
     }
 
-    /** Holds all answers back from now on, or gives those held back. */
+    /** Delays all responses from now on, or stops doing so and sends the delayed ones. */
     void stall(boolean delayResponses) {
         group.next().submit(() -> {
             stalled = delayResponses;
@@ -82,11 +89,12 @@
         }).syncUninterruptibly();
     }
 
-    /** Answers that are held back now. */
+    /** Returns the number of responses that are delayed now. */
     int delayedResponseCount() {
         return group.next().submit(delayedResponses::size).syncUninterruptibly().getNow();
     }
 
+    /** Answers each complete request, or delays the response while the backends are stalled. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
--- a/lab/src/main/java/passhatch/lab/latency/package-info.java
+++ b/lab/src/main/java/passhatch/lab/latency/package-info.java
@@ -1,2 +1,5 @@
-/** What the proxy adds to a call: an open-loop load, stand-in backends, and a proxy as it runs in service. */
+/**
+ * Measures the latency that the proxy adds to a call, with an open-loop load, stub backends and a deployed
+ * proxy.
+ */
 package passhatch.lab.latency;
--- a/lab/src/main/java/passhatch/lab/soak/FaultPlan.java
+++ b/lab/src/main/java/passhatch/lab/soak/FaultPlan.java
@@ -6,44 +6,59 @@
 import java.util.SplittableRandom;
 
 /**
- * The faults of a run, by when they begin; the seed alone decides them. They overlap in time.
+ * The faults of a run, which can overlap in time. They depend only on the seed, the duration and the rate of
+ * faults.
  *
- * @param faults in the order of their beginning
+ * @param faults the faults, ordered by start time
  */
 record FaultPlan(List<Fault> faults) {
 
-    /** What is made to happen. */
+    /** The kind of a fault, with the range of its duration in milliseconds. */
     enum Kind {
-        /** Discovery dies: watches are reset and calls refused; it returns after the fault's length. */
+        /** Discovery crashes: connections are reset and new ones refused until the fault ends. */
         DISCOVERY_DOWN(1_000, 6_000),
         /** Each call to discovery is answered 503 at once. */
         DISCOVERY_FAILING(1_000, 5_000),
-        /** Calls to discovery get no answer. */
+        /** Calls to discovery get no response. */
         DISCOVERY_SILENT(500, 3_000),
-        /** Open watches say nothing more and stay open. */
+        /** Open watches stay open but send nothing more. */
         WATCHES_SILENT(0, 0),
+        /** The connections of all open watches are reset. */
         WATCHES_RESET(0, 0),
+        /** All open watches end with a complete response. */
         WATCHES_END(0, 0),
-        /** A new configuration names another address of discovery (SIGHUP). */
+        /** Discovery moves: the proxies reload a configuration with its new address on SIGHUP. */
         DISCOVERY_MOVED(0, 0),
-        /** A backend dies, is removed from the list, and comes back. */
+        /** A backend crashes, is removed from the list, and restarts. */
         BACKEND_CRASHED(1_000, 6_000),
-        /** A backend is removed from the list, or drains, and still answers. */
+        /** A backend is removed from the list but still responds. */
         BACKEND_REMOVED(12_000, 20_000),
+        /** A backend is listed as draining but still responds. */
         BACKEND_DRAINED(12_000, 20_000),
+        /** A backend receives requests and does not respond. */
         BACKEND_HANGS(1_000, 6_000),
+        /** A backend answers most requests 500. */
         BACKEND_ERRS(1_000, 6_000),
+        /** A backend resets the connections of most requests. */
         BACKEND_RESETS(1_000, 6_000),
+        /** A backend answers most requests 503 without running them. */
         BACKEND_FULL(1_000, 6_000),
-        /** SIGKILL, and a new process. */
+        /** A proxy gets SIGKILL and is started again after the duration. */
         PROXY_KILLED(200, 1_500),
-        /** SIGTERM, SIGKILL once that may come, and a new process. */
+        /**
+         * A proxy gets SIGTERM, then SIGKILL at the earliest time allowed, and is started again after the
+         * duration.
+         */
         PROXY_TERMINATED(200, 1_500),
-        /** A proxy stands still, as long as the rules allow for. */
+        /** A proxy is stopped (SIGSTOP) for up to the time that the rules allow for, then continued. */
         PROXY_PAUSED(20, 120),
+        /** The wall clock of a proxy is off. */
         CLOCK_STEPPED(3_000, 15_000),
+        /** Some accept calls of a proxy fail. */
         ACCEPT_FAILS(500, 4_000),
+        /** Some connect calls of a proxy fail. */
         CONNECT_FAILS(500, 4_000),
+        /** Some socket calls of a proxy fail. */
         SOCKET_FAILS(500, 4_000);
 
         private final int minDurationMs;
@@ -56,13 +71,15 @@
     }
 
     /**
-     * One fault.
+     * A fault of the plan.
      *
-     * @param randomChoice picks its target and what else it leaves open
+     * @param startMs start of the fault, in milliseconds after the start of the run
+     * @param durationMs duration in milliseconds
+     * @param randomChoice random number that selects the target and variant of the fault
      */
     record Fault(Kind kind, int startMs, int durationMs, int randomChoice) { }
 
-    /** Faults for a run of that length, so many a second on average. */
+    /** Generates the faults of a run from a seed, at an average rate. */
     static FaultPlan generate(long seed, int runDurationMs, double faultsPerSecond) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> faults = new ArrayList<>();
--- a/lab/src/main/java/passhatch/lab/soak/FaultShim.java
+++ b/lab/src/main/java/passhatch/lab/soak/FaultShim.java
@@ -12,10 +12,13 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Steps the wall clock of one proxy and makes its system calls fail, by a library loaded into it. */
+/**
+ * Controls a library preloaded into one proxy that steps its wall clock and makes its system calls fail.
+ * Without a C compiler there is no library and the faults have no effect.
+ */
 final class FaultShim {
 
-    /** Errors of accept and connect that Linux documents, by their numbers there. */
+    /** Errors of accept and connect documented for Linux, with their numbers. */
     enum Errno {
         ECONNABORTED(103), ENFILE(23), ENOBUFS(105), EADDRNOTAVAIL(99), ENETUNREACH(101), EINTR(4);
 
@@ -26,7 +29,7 @@
         }
     }
 
-    /** The layout of {@code struct faults} in fault_shim.c. */
+    // Byte offsets in struct faults of fault_shim.c.
     private static final int CLOCK_STEP_OFFSET = 0;
     private static final int ACCEPT_OFFSET = 8;
     private static final int CONNECT_OFFSET = 16;
@@ -38,7 +41,12 @@
     private final Path file;
     private final ByteBuffer mappedFaults;
 
-    /** A shim with no fault, which keeps what it does in the file. */
+    /**
+     * Creates a shim without faults.
+     *
+     * @param library the compiled library, or null if there is none
+     * @param file shared file that holds the current faults; created if it does not exist
+     */
     FaultShim(Path library, Path file) throws IOException {
         this.library = library;
         this.file = file;
@@ -49,7 +57,13 @@
         }
     }
 
-    /** Compiles the library into the folder; null where this machine has no C compiler. */
+    /**
+     * Compiles the library into a directory.
+     *
+     * @param root root directory of the project
+     * @return the library, or null if there is no C compiler
+     * @throws IOException if the compiler fails or takes over 60 s
+     */
     static Path compile(Path root, Path directory) throws IOException, InterruptedException {
         Path library = directory.resolve("fault_shim.so").toAbsolutePath();
         try {
@@ -57,7 +71,7 @@
                     library.toString(), root.resolve("lab/src/main/c/fault_shim.c").toString(), "-ldl")
                     .inheritIO().start();
             if (!compiler.waitFor(COMPILE_TIMEOUT_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-                throw new IOException("fault_shim.c does not compile");
+                throw new IOException("compiling fault_shim.c failed or timed out");
             }
         } catch (IOException noCompiler) {
             if (Files.exists(Path.of("/usr/bin/cc"))) {
@@ -68,6 +82,7 @@
         return library;
     }
 
+    /** Adds the variables that load the library to the environment of a proxy. */
     void addTo(Map<String, String> environment) {
         if (library != null) {
             environment.put("LD_PRELOAD", library.toString());
@@ -75,22 +90,22 @@
         }
     }
 
-    /** The wall clock is off by so much from now on; zero sets it right. */
+    /** Sets the offset of the wall clock from now on; zero ends the fault. */
     void stepClock(Duration offset) {
         mappedFaults.putLong(CLOCK_STEP_OFFSET, offset.toNanos());
     }
 
-    /** So many of a thousand calls to accept fail. */
+    /** Makes this many of 1,000 calls to accept fail with an error; zero ends the fault. */
     void failAccept(int permille, Errno errno) {
         mappedFaults.putInt(ACCEPT_OFFSET + Integer.BYTES, errno.number).putInt(ACCEPT_OFFSET, permille);
     }
 
-    /** So many of a thousand calls to socket fail. */
+    /** Makes this many of 1,000 calls to socket fail with an error; zero ends the fault. */
     void failSocket(int permille, Errno errno) {
         mappedFaults.putInt(SOCKET_OFFSET + Integer.BYTES, errno.number).putInt(SOCKET_OFFSET, permille);
     }
 
-    /** So many of a thousand calls to connect fail. */
+    /** Makes this many of 1,000 calls to connect fail with an error; zero ends the fault. */
     void failConnect(int permille, Errno errno) {
         mappedFaults.putInt(CONNECT_OFFSET + Integer.BYTES, errno.number).putInt(CONNECT_OFFSET, permille);
     }
--- a/lab/src/main/java/passhatch/lab/soak/FaultyBackends.java
+++ b/lab/src/main/java/passhatch/lab/soak/FaultyBackends.java
@@ -31,27 +31,33 @@
 import java.util.concurrent.TimeUnit;
 import passhatch.lab.soak.RunObservations.Arrival;
 
-/** Backends on loopback that can be made to fail, on one thread; each request that arrives is recorded. */
+/**
+ * Backends on loopback that can be made to fail, all in one event loop. Every request that arrives is
+ * recorded.
+ */
 final class FaultyBackends implements Closeable {
 
-    /** How a backend fares. */
+    /** How a backend handles requests. */
     enum Mode {
+        /** It answers all requests 200. */
         SERVING,
-        /** It takes requests and says nothing. */
+        /** It receives requests and does not respond. */
         HANGING,
-        /** It answers most of them 500. */
+        /** It answers most requests 500. */
         ERRING,
-        /** It resets connections under requests and under answers. */
+        /** It resets the connections of most requests instead of responding. */
         RESETTING,
-        /** Its queue is full: 503 with the promise that nothing ran. */
+        /**
+         * Its queue is full: it answers most requests 503 with the header that says that they did not run.
+         */
         FULL
     }
 
-    /** Not the usual loopback address: there a connection might take the port of one that is down. */
+    /** Not 127.0.0.1, where an outgoing connection could take the port of a backend that is down. */
     static final String HOST = "127.2.0.1";
     private static final int MEAN_SERVICE_US = 15_000;
     private static final int MAX_BODY_BYTES = 1 << 16;
-    /** Part of the requests that a fault strikes. */
+    /** Part of the requests that a fault affects, except for HANGING, which affects all. */
     private static final double FAULT_RATIO = 0.6;
     private static final long NANOS_PER_MICRO = 1_000;
 
@@ -62,6 +68,7 @@
     private final SplittableRandom random;
     private final List<Backend> backends = new ArrayList<>();
 
+    /** Starts {@code count} backends on free ports; the seed decides service times and affected requests. */
     FaultyBackends(int count, long seed, RunObservations observations) {
         this.observations = observations;
         this.random = new SplittableRandom(seed);
@@ -72,6 +79,7 @@
         }
     }
 
+    /** The name of a backend in discovery's list. */
     String name(int backend) {
         return backends.get(backend).name;
     }
@@ -84,11 +92,12 @@
         return backends.size();
     }
 
+    /** Sets how a backend handles requests from now on. */
     void mode(int backend, Mode mode) {
         runInLoop(() -> backends.get(backend).mode = mode);
     }
 
-    /** Its process dies: connections are reset, new ones refused. */
+    /** Simulates a crash: connections are reset and new ones refused until {@link #restart}. */
     void crash(int backend) {
         Backend target = backends.get(backend);
         Channel listener = target.listener;
@@ -96,7 +105,7 @@
         runInLoop(() -> Set.copyOf(target.openChannels).forEach(Backend::reset));
     }
 
-    /** It runs again at the same address. */
+    /** Lets a crashed backend listen at the same address and serve again. */
     void restart(int backend) {
         Backend target = backends.get(backend);
         runInLoop(() -> target.mode = Mode.SERVING);
@@ -112,6 +121,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
+    /** One backend and its open connections, which are used only in the event loop. */
     private final class Backend {
         private final String name;
         private final Set<Channel> openChannels = new HashSet<>();
@@ -149,6 +159,7 @@
         }
     }
 
+    /** Records each request and handles it by the mode of its backend. */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Backend backend;
 
--- a/lab/src/main/java/passhatch/lab/soak/LoadClient.java
+++ b/lab/src/main/java/passhatch/lab/soak/LoadClient.java
@@ -13,15 +13,21 @@
 import passhatch.lab.soak.RunObservations.RequestOutcome;
 import passhatch.lab.soak.RunObservations.Sent;
 
-/** A client of one proxy: one request at a time on a connection that it keeps, until it is told to end. */
+/** A client of one proxy that sends one request at a time on a persistent connection until it is stopped. */
 final class LoadClient implements Runnable {
 
-    /** Past its time an answer is still waited for so long; more than the rule's half a second is lost. */
+    /**
+     * The client waits this long after the deadline; the protocol counts a response later than 0.5 s as lost.
+     */
     static final Duration RESPONSE_SLACK = Duration.ofMillis(500);
     private static final int CONNECT_TIMEOUT_MS = 1_000;
+    /** Part of the requests whose client disconnects without waiting for the response. */
     private static final double ABANDON_RATIO = 0.04;
+    /** Part of the responses after which the client closes its connection. */
     private static final double CLOSE_RATIO = 0.05;
+    /** Part of the requests with a deadline of 20 to 320 ms. */
     private static final double SHORT_DEADLINE_RATIO = 0.1;
+    /** Longest line read from a response head. */
     private static final int MAX_LINE_CHARS = 1 << 12;
     private static final int RECONNECT_PAUSE_MS = 5;
 
@@ -36,6 +42,12 @@
     private boolean isNewConnection;
     private volatile boolean stopRequested;
 
+    /**
+     * Creates a client.
+     *
+     * @param number distinguishes the clients of one proxy
+     * @param meanGapMs mean pause between requests in milliseconds
+     */
     LoadClient(ProxyInstance proxy, int number, long seed, int meanGapMs, RunObservations observations) {
         this.proxy = proxy;
         this.number = number;
@@ -44,11 +56,12 @@
         this.observations = observations;
     }
 
-    /** What a backend answers to a request, by its id. */
+    /** Returns the body of a backend's response to the request with the given id. */
     static String responseBody(String id) {
         return "served " + id;
     }
 
+    /** Ends the client after its current request. */
     void stop() {
         stopRequested = true;
     }
@@ -122,7 +135,7 @@
         return new Response(RequestOutcome.LEFT, 0);
     }
 
-    /** How a request ended, and whether its connection does too. */
+    /** The outcome of a request and whether its connection must be closed. */
     private static final class Response {
         private final RequestOutcome outcome;
         private final int status;
@@ -170,7 +183,7 @@
             socket.setSoTimeout((int) Math.max(1, leftMs));
             int next = input.read();
             if (next < 0) {
-                throw new IOException("the connection ended");
+                throw new IOException("connection closed before the end of the response head");
             }
             if (next == '\n') {
                 break;
@@ -187,7 +200,7 @@
             try {
                 socket.close();
             } catch (IOException ignored) {
-                // It is gone either way.
+                // The connection is not used again, so a failed close does not matter.
             }
             socket = null;
         }
--- a/lab/src/main/java/passhatch/lab/soak/Oracle.java
+++ b/lab/src/main/java/passhatch/lab/soak/Oracle.java
@@ -10,15 +10,35 @@
 import passhatch.lab.soak.RunObservations.Removal;
 import passhatch.lab.soak.RunObservations.Sent;
 
-/** Holds what was seen in a run against the rules of the protocol, with the slack that its page gives. */
+/**
+ * Checks the observations of a run against the rules of the protocol, with the slack that the protocol page
+ * allows.
+ */
 public final class Oracle {
 
-    /** The rules that a run can break. */
+    /** The rules that a run can violate. */
     public enum Rule {
-        LOST, DUPLICATE, DRAIN, AFTER_CLIENT_LEFT, AFTER_ANSWER, DEADLINE, CRASH, NOT_READY, SELF_CHECK
+        /** A request got no complete response, or one of another request, and its proxy was not killed. */
+        LOST,
+        /** A request was sent again although an earlier attempt may have run and its class forbids that. */
+        DUPLICATE,
+        /** A server that was removed or drains got an attempt after the drain grace. */
+        DRAIN,
+        /** An attempt arrived after its client had disconnected. */
+        AFTER_CLIENT_LEFT,
+        /** An attempt arrived after its client had got a response. */
+        AFTER_ANSWER,
+        /** An attempt carried more time than its client had left. */
+        DEADLINE,
+        /** The process of a proxy did not run at the end. */
+        CRASH,
+        /** A proxy was not ready in time after its start. */
+        NOT_READY,
+        /** A proxy logged a bug or a violation that it detected itself. */
+        SELF_CHECK
     }
 
-    /** One break of a rule. */
+    /** One violation of a rule. */
     public record Violation(Rule rule, String description) {
         @Override
         public String toString() {
@@ -26,11 +46,16 @@
         }
     }
 
-    /** What discovery has to tell counts as told after this at the latest. */
+    /**
+     * Proxies must know a change of the list at most this long after discovery made it or became reachable
+     * again.
+     */
     static final Duration MAX_NOTIFICATION_DELAY = Duration.ofSeconds(6);
+    /** An attempt may still arrive this long after its client has disconnected. */
     private static final Duration ABANDON_SLACK = Duration.ofMillis(100);
+    /** An attempt may carry this much more time than its client has left. */
     private static final Duration DEADLINE_SLACK = Duration.ofMillis(150);
-    /** The clients, the backends and this check share the machine with the proxies. */
+    /** Additional slack for delays of clients and backends, which run on the same machine as the proxies. */
     private static final Duration MACHINE_SLACK = Duration.ofMillis(250);
 
     private final RunObservations observations;
@@ -38,16 +63,17 @@
     private final List<Violation> violations = new ArrayList<>();
 
     /**
-     * An oracle for one run.
+     * Creates an oracle for one run.
      *
-     * @param killTimesNs when each proxy was killed: what it held then is not its loss
+     * @param killTimesNs the times when each proxy was killed, by its number; requests in flight then are not
+     *     lost
      */
     Oracle(RunObservations observations, Map<Integer, List<Long>> killTimesNs) {
         this.observations = observations;
         this.killTimesNs = killTimesNs;
     }
 
-    /** All breaks of rules on requests and servers. */
+    /** Returns all violations of the rules on requests and servers. */
     List<Violation> check() {
         for (Sent request : observations.requests()) {
             List<Arrival> arrivals = observations.arrivals(request.id()).stream()
@@ -124,7 +150,10 @@
         }
     }
 
-    /** When a removal counts as told: a span in which discovery cannot be reached puts it off. */
+    /**
+     * Returns the time by which all proxies must know of a removal; outages of discovery in that time extend
+     * it.
+     */
     private long notificationDeadlineNs(Removal removal) {
         long deadlineNs = removal.fromNs() + MAX_NOTIFICATION_DELAY.toNanos();
         for (Removal outage : observations.outages().stream()
--- a/lab/src/main/java/passhatch/lab/soak/ProxyInstance.java
+++ b/lab/src/main/java/passhatch/lab/soak/ProxyInstance.java
@@ -19,12 +19,14 @@
 import java.util.concurrent.TimeUnit;
 import passhatch.lab.DeployFile;
 
-/** One proxy under test: its address and configuration, and the process that serves there now. */
+/** A proxy under test: its address, its configuration, and its current process. */
 final class ProxyInstance implements Closeable {
 
-    /** Zone and machine kind of all servers. */
+    /** Zone of all servers. */
     static final String ZONE = "a";
+    /** Machine type of all servers. */
     static final String MACHINE_TYPE = "m";
+    /** How long the proxy may still send requests to a server after it was notified of its removal. */
     static final Duration DRAIN_GRACE = Duration.ofMillis(2_500);
     private static final int MAX_SOCKETS = 256;
     private static final int POLL_INTERVAL_MS = 20;
@@ -42,20 +44,19 @@
     private Process process;
     private int startCount;
     private volatile boolean accepting;
-    /** When it was last killed, as {@link System#nanoTime}; what it held then is not its loss. */
+    /** Time of the last kill, as of {@link System#nanoTime}; requests in flight then do not count as lost. */
     private volatile long killedNs = Long.MIN_VALUE;
 
     /**
-     * Describes one; nothing is started.
+     * Creates an instance without starting its process.
      *
-     * @param root the project's folder, with the service built
-     * @param workingDirectory where its configuration and logs go
-     * @param number among the {@code fleet} proxies
-     * @param discoveryOnRequest whether discovery has to be asked for changes
+     * @param root root directory of the project, with the service built
+     * @param workingDirectory directory for its configuration and logs
+     * @param number index among the {@code fleetSize} proxies
+     * @param discoveryOnRequest whether discovery must be asked for changes instead of pushing them
      */
     ProxyInstance(Path root, Path workingDirectory, int number, int fleetSize, boolean discoveryOnRequest,
-            InetSocketAddress discovery,
-            FaultShim shim) throws IOException {
+            InetSocketAddress discovery, FaultShim shim) throws IOException {
         this.root = root;
         this.workingDirectory = workingDirectory;
         this.number = number;
@@ -67,8 +68,8 @@
     }
 
     /**
-     * A free port at a loopback address of its own: at the usual one a connection of another process might
-     * take the port while this proxy is down.
+     * Returns a free port at a loopback address that no other proxy uses. At 127.0.0.1 an outgoing connection
+     * of another process could take the port while this proxy is down.
      */
     private static InetSocketAddress freeAddress(int number) throws IOException {
         InetAddress ownAddress = InetAddress.getByAddress(new byte[] {127, 1, (byte) (number >> 7),
@@ -86,11 +87,12 @@
         return address;
     }
 
-    /** Whether clients may open connections to it. */
+    /** Whether clients may open new connections to it. */
     boolean isAccepting() {
         return accepting;
     }
 
+    /** Time of the last kill, as of {@link System#nanoTime}; {@link Long#MIN_VALUE} if there was none. */
     long killedNs() {
         return killedNs;
     }
@@ -99,12 +101,12 @@
         return shim;
     }
 
-    /** The list that it starts with, in discovery's form. */
+    /** Sets the list of servers that the configuration contains, in the JSON format of discovery. */
     void setInitialEndpoints(List<Map<String, Object>> endpoints) {
         initialEndpoints = endpoints;
     }
 
-    /** Starts its process; {@link #awaitReady} tells when it serves. */
+    /** Starts a process; {@link #awaitReady} waits until it serves. */
     void start() throws IOException {
         writeConfig();
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", DeployFile.runCommand(root));
@@ -117,7 +119,10 @@
                 + ".log").toFile()).start();
     }
 
-    /** Waits until clients may come; false where that took longer, or it ended. */
+    /**
+     * Waits until the proxy is ready for clients; returns false if the process ends or the time-out expires
+     * first.
+     */
     boolean awaitReady(Duration timeout) throws InterruptedException {
         long endNs = System.nanoTime() + timeout.toNanos();
         while (process.isAlive() && System.nanoTime() < endNs) {
@@ -143,23 +148,24 @@
         }
     }
 
-    /** Moves it to another address of discovery with SIGHUP. */
+    /** Writes another address of discovery to the configuration and has the proxy reload it with SIGHUP. */
     void changeDiscovery(InetSocketAddress newDiscovery) throws IOException, InterruptedException {
         discovery = newDiscovery;
         writeConfig();
         signal("HUP");
     }
 
-    /** From now on clients open no new connections, as a front that takes it out. */
+    /** Stops clients from opening new connections, like a front-end that has disabled this proxy. */
     void stopNewConnections() {
         accepting = false;
     }
 
+    /** Sends a signal to the process, by its name without SIG. */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Kills it outright, if it still runs. */
+    /** Kills the process with SIGKILL if it still runs, and waits for its end. */
     void kill() throws InterruptedException {
         accepting = false;
         killedNs = System.nanoTime();
@@ -170,7 +176,7 @@
         return process.isAlive();
     }
 
-    /** All that its processes said. */
+    /** Returns the output of all its processes so far. */
     String logs() throws IOException {
         StringBuilder all = new StringBuilder();
         for (int i = 1; i <= startCount; i++) {
--- a/lab/src/main/java/passhatch/lab/soak/RequestKind.java
+++ b/lab/src/main/java/passhatch/lab/soak/RequestKind.java
@@ -4,18 +4,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The classes of requests in a soak, one for each effect that the protocol knows. */
+/** The request classes of a soak, one for each effect that the protocol defines. */
 enum RequestKind {
     /** Safe to repeat. */
     READ("read", "pure", Duration.ofMillis(1_500)),
-    /** Dropped by every server when it is repeated within {@link #DEDUP_WINDOW}. */
+    /** Carries a key by which every server drops repetitions within {@link #DEDUP_WINDOW}. */
     KEYED("keyed", "token", Duration.ofMillis(1_500)),
-    /** Must never run twice. */
+    /** Has side effects and must never run twice. */
     UNSAFE("unsafe", "side_effect", Duration.ofMillis(2_000));
 
-    /** How long servers drop repeats of a keyed request. */
+    /** How long servers drop repetitions of a keyed request. */
     static final Duration DEDUP_WINDOW = Duration.ofMillis(900);
-    /** The longest time that a client waits. */
+    /** The longest deadline of a request. */
     static final Duration LONGEST_DEADLINE = UNSAFE.deadline;
 
     final String path;
@@ -32,7 +32,7 @@
         return duration.toNanos() / 1_000;
     }
 
-    /** The class as a proxy's settings have it. */
+    /** Returns the entry of the class in a proxy's settings. */
     Map<String, Object> settings() {
         Map<String, Object> json = new HashMap<>(Map.of("name", path, "effect", effect,
                 "goalTimeUs", toMicroseconds(deadline) / 2, "deadlineUs", toMicroseconds(deadline), "worth",
@@ -44,7 +44,7 @@
         return json;
     }
 
-    /** The head of a request without a body, which is all of it. */
+    /** Returns a complete request without a body, with the given id and time left until its deadline. */
     String message(String id, Duration timeLeft) {
         String method = this == READ ? "GET" : "POST";
         return method + " /" + path + "/1 HTTP/1.1\r\nHost: soak\r\nX-Request-Id: " + id + "\r\nX-Deadline: "
--- a/lab/src/main/java/passhatch/lab/soak/RunObservations.java
+++ b/lab/src/main/java/passhatch/lab/soak/RunObservations.java
@@ -5,44 +5,53 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** What clients, backends and discovery saw in a run; times are {@link System#nanoTime}. */
+/**
+ * Everything that clients, backends and discovery observed in a run. Times are as of {@link System#nanoTime}.
+ * Thread-safe.
+ */
 final class RunObservations {
 
-    /** How a request ended for its client. */
+    /** The outcome of a request as its client saw it. */
     enum RequestOutcome {
-        /** A whole answer that the protocol allows. */
+        /** A complete response that the protocol allows. */
         ANSWERED,
-        /** A 200 that is not the answer of a backend to this request. */
+        /** A response of status 200 whose body is not the one of a backend to this request. */
         FORGED,
-        /** Its connection ended before a whole answer. */
+        /** The connection was closed before a complete response. */
         CLOSED,
-        /** No answer by the end of its time and of the slack. */
+        /** No response by the deadline plus its slack. */
         NO_ANSWER,
-        /** The client closed its connection before the answer. */
+        /** The client closed the connection without waiting for the response. */
         LEFT,
-        /** It was never written whole, or the connection was refused. */
+        /** The request could not be written completely. */
         NOT_TAKEN
     }
 
     /**
      * A request as its client saw it.
      *
-     * @param firstOnConnection whether its connection was new
-     * @param endedNs when it ended, for {@link RequestOutcome#LEFT} when the connection was closed
+     * @param firstOnConnection whether it was the first request on its connection
+     * @param endedNs time when the request ended; for {@link RequestOutcome#LEFT} when the connection was
+     *     closed
      */
     record Sent(String id, int proxy, RequestKind kind, boolean firstOnConnection, long sentNs,
             long deadlineNs, RequestOutcome end, int status, long endedNs) { }
 
-    /** An attempt as a backend saw it, with the time that it was told is left. */
+    /**
+     * An attempt as a backend saw it, with the time left until the deadline in its header, in nanoseconds.
+     */
     record Arrival(String id, String server, long atNs, long leftNs, boolean mayHaveRun) { }
 
-    /** A server's removal from the list, until it was listed again. */
+    /** The time during which a server was not listed as serving; also used for outages of discovery. */
     record Removal(String server, long fromNs, long untilNs) { }
 
     private final ConcurrentLinkedQueue<Sent> requests = new ConcurrentLinkedQueue<>();
     private final Map<String, ConcurrentLinkedQueue<Arrival>> arrivals = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<Removal> removals = new ConcurrentLinkedQueue<>();
-    /** When discovery could last not be reached, or was last moved: what it tells counts from then. */
+    /**
+     * The times when discovery was unreachable or moved; the time for notifying proxies starts again at their
+     * end.
+     */
     private final ConcurrentLinkedQueue<Removal> outages = new ConcurrentLinkedQueue<>();
 
     void add(Sent request) {
@@ -57,7 +66,7 @@
         removals.add(removal);
     }
 
-    /** The server is listed again: its last removal ends. */
+    /** Ends the last removal of a server because it is listed as serving again. */
     void relisted(String server, long atNs) {
         Removal latest = null;
         for (Removal removal : removals) {
@@ -68,6 +77,7 @@
         }
     }
 
+    /** Records a time when discovery was unreachable or moved. */
     void addOutage(long fromNs, long untilNs) {
         outages.add(new Removal("", fromNs, untilNs));
     }
--- a/lab/src/main/java/passhatch/lab/soak/SoakRun.java
+++ b/lab/src/main/java/passhatch/lab/soak/SoakRun.java
@@ -29,38 +29,46 @@
 import passhatch.lab.soak.Oracle.Rule;
 import passhatch.lab.soak.Oracle.Violation;
 
-/** One run: starts all parts, plays a plan of faults under load, and holds the outcome against the rules. */
+/** One run of the soak: starts all processes, injects a plan of faults under load, and checks the rules. */
 public final class SoakRun implements Closeable {
 
     private static final int CLIENTS_PER_PROXY = 3;
+    /** Mean pause between the requests of a client. */
     private static final int MEAN_GAP_MS = 40;
     private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
     private static final Duration RESTART_TIMEOUT = Duration.ofSeconds(10);
-    /** A call to discovery may be open when an outage begins, and is given up after this. */
+    /** Threads that inject faults; each fault occupies one until it ends. */
     private static final int FAULT_THREADS = 24;
     private static final long LARGE_CLOCK_STEP_S = 3_600;
+    /** System calls of 1,000 that fail during a fault. */
     private static final int FAULT_PERMILLE = 300;
+    /** Permille value for making all system calls fail. */
     private static final int ALL_PERMILLE = 1_000;
-    /** SIGKILL follows SIGTERM no sooner than the longest deadline and this. */
+    /** SIGKILL follows SIGTERM after the longest deadline plus this margin. */
     private static final Duration KILL_MARGIN = Duration.ofMillis(700);
-    /** What in a log tells of a fault in the program itself, with the first lines of its trace. */
+    /**
+     * Matches a log line in which a proxy reports a bug or violation of its own, and up to 8 lines of stack
+     * trace.
+     */
     private static final Pattern SELF_REPORTED_FAULT = Pattern.compile(
             "(?m)^.* (BUG|VIOLATION) .*$(\\R.*){0,8}");
-    /** Part of the backends that may be away at a time. */
+    /** Part of the backends that may have a fault at the same time. */
     private static final double MAX_UNAVAILABLE_RATIO = 0.4;
 
     /**
      * The size of a run.
      *
-     * @param proxies real processes
-     * @param discoveryOnRequest whether discovery has to be asked for changes
-     * @param costs of calls to discovery
+     * @param proxies number of proxy processes
+     * @param backends number of backends
+     * @param duration how long faults are injected
+     * @param faultsPerSecond average rate of faults
+     * @param discoveryOnRequest whether discovery must be asked for changes instead of pushing them
+     * @param costs simulated costs of calls to discovery
      */
     public record Size(int proxies, int backends, Duration duration, double faultsPerSecond,
-            boolean discoveryOnRequest,
-            CallCosts costs) { }
+            boolean discoveryOnRequest, CallCosts costs) { }
 
-    /** What came of a run. */
+    /** The result of a run: numbers of requests and faults, and all violations of the rules. */
     public record Report(long seed, int requests, int answered, int served, int faults,
             List<Violation> violations) {
 
@@ -82,18 +90,21 @@
     private final Map<Integer, List<Long>> killTimesNs = new ConcurrentHashMap<>();
     private final List<Violation> violations = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService faultExecutor = Executors.newScheduledThreadPool(FAULT_THREADS);
-    /** Guarded by this. */
+    // The following fields up to discoveryBusy are guarded by this.
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private final Set<Integer> busyBackends = new HashSet<>();
     private final Set<Integer> busyProxies = new HashSet<>();
     private boolean discoveryBusy;
+    /** Index of the discovery server that the proxies are configured with. */
     private int discoveryInUse;
 
     /**
-     * Starts the stand-ins and describes the proxies.
+     * Starts the backends and discovery and prepares the proxies without starting them.
      *
-     * @param root the project's folder, with the service built
-     * @param workingDirectory for configurations and logs
+     * @param root root directory of the project, with the service built
+     * @param workingDirectory directory for configurations and logs; created if it does not exist
+     * @param seed decides the faults, the requests and the service times
+     * @throws IOException if files cannot be written or the fault library cannot be compiled
      */
     public SoakRun(Path root, Path workingDirectory, long seed, Size size) throws IOException,
             InterruptedException {
@@ -121,7 +132,7 @@
         }
     }
 
-    /** Starts all proxies and waits until each is ready. */
+    /** Starts all proxies and waits until each is ready; one that is not ready within 30 s is a violation. */
     public void start() throws IOException, InterruptedException {
         for (ProxyInstance proxy : proxies) {
             proxy.start();
@@ -133,7 +144,7 @@
         }
     }
 
-    /** Plays the seed's plan under load; what came of it. */
+    /** Injects the faults of the seed's plan under load and returns the result. */
     public Report execute() throws IOException, InterruptedException {
         FaultPlan plan = FaultPlan.generate(seed, (int) size.duration().toMillis(), size.faultsPerSecond());
         startLoad();
@@ -143,7 +154,7 @@
         return finish(plan.faults().size());
     }
 
-    /** Begins to send requests to all proxies. */
+    /** Starts clients that send requests to all proxies. */
     public void startLoad() {
         for (ProxyInstance proxy : proxies) {
             for (int i = 0; i < CLIENTS_PER_PROXY; i++) {
@@ -158,7 +169,11 @@
         }
     }
 
-    /** Ends the load and checks all that was seen. */
+    /**
+     * Ends the load, checks all observations and returns the result.
+     *
+     * @param faultCount number of injected faults, for the report
+     */
     public Report finish(int faultCount) throws IOException, InterruptedException {
         clients.forEach(LoadClient::stop);
         for (Thread thread : clientThreads) {
@@ -181,14 +196,14 @@
         return new Report(seed, observations.requests().size(), answered, served, faultCount, all);
     }
 
-    // ---- what tests and faults do
+    // Faults, injected by the plan or directly by tests.
 
-    /** Removes a backend from the list, or has it drain; it still answers. */
+    /** Lists a backend as deleted or draining; it still responds to requests. */
     public void removeBackend(int backend, Status status) {
         setStatus(backend, status, 0);
     }
 
-    /** All calls to socket of every proxy fail for the length, and all watches are reset meanwhile. */
+    /** Makes all socket calls of every proxy fail for a duration and resets all watches at its start. */
     void failSockets(Duration duration) throws InterruptedException {
         proxies.forEach(proxy -> proxy.shim().failSocket(ALL_PERMILLE, FaultShim.Errno.ENFILE));
         discovery().resetWatches();
@@ -196,7 +211,7 @@
         proxies.forEach(proxy -> proxy.shim().failSocket(0, FaultShim.Errno.ENFILE));
     }
 
-    /** All that the proxies said, to be shown where a run fails. */
+    /** Returns the output of all proxies, for the message of a failed test. */
     String logs() {
         StringBuilder all = new StringBuilder();
         for (ProxyInstance proxy : proxies) {
@@ -209,15 +224,19 @@
         return all.toString();
     }
 
+    /** Returns a proxy by its index. */
     ProxyInstance proxy(int number) {
         return proxies.get(number);
     }
 
+    /** Returns the discovery server that the proxies are configured with. */
     DiscoveryServer discovery() {
         return discoveries.get(discoveryInUse);
     }
 
-    /** Has calls to discovery fare so for the length, which counts as an outage. */
+    /**
+     * Sets the mode of discovery for a duration and records it as an outage; FAILING also resets all watches.
+     */
     public void failDiscovery(DiscoveryServer.Mode mode, Duration duration) throws InterruptedException {
         long fromNs = System.nanoTime();
         if (mode == DiscoveryServer.Mode.FAILING) {
@@ -251,7 +270,9 @@
                 .toList();
     }
 
-    /** Takes a backend for a fault; false where it has one, or too many are away. */
+    /**
+     * Reserves a backend for a fault; returns false if it has one already or too many backends have faults.
+     */
     private synchronized boolean reserveBackend(int backend) {
         return busyBackends.size() < MAX_UNAVAILABLE_RATIO * size.backends() && busyBackends.add(backend);
     }
--- a/lab/src/main/java/passhatch/lab/soak/package-info.java
+++ b/lab/src/main/java/passhatch/lab/soak/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A randomized fault soak: real proxy processes between stand-in clients, backends and discovery on
- * loopback, faults that overlap in time, and the protocol's rules as the oracle. A seed decides the plan.
+ * A randomized fault soak: real proxy processes between stub clients, backends and discovery on loopback,
+ * with faults that overlap in time. The rules of the protocol are the oracle; a seed decides the plan of
+ * faults.
  */
 package passhatch.lab.soak;
--- a/lab/src/test/java/passhatch/lab/control/ControlPathTest.java
+++ b/lab/src/test/java/passhatch/lab/control/ControlPathTest.java
@@ -16,8 +16,8 @@
 import passhatch.lab.discovery.DiscoveryServer.Mode;
 
 /**
- * Counts and ratios of the control path with fifty proxies. On a slow machine a watch may pass for silent and
- * be opened again, so counts of calls are bounded, not fixed.
+ * Calls, bytes and propagation on the control path with 50 proxies. On a slow machine a proxy may take a
+ * watch for silent and reopen it, so the numbers of calls are checked against bounds, not exact values.
  */
 @Timeout(120)
 final class ControlPathTest {
@@ -70,7 +70,7 @@
         assertEquals(0, recovery.unfinishedProxies());
         assertEquals(WATCHES, path.openWatches());
         assertCallCount(recovery, WATCHES, 3 * WATCHES);
-        // After an outage the history is lost, and a whole list is due; but never two of them.
+        // After an outage the history is lost, so each call gets one full list, but never two.
         double listsPerCall = recovery.callStats().sentBytes() / (double) fullListBytes / recovery
                 .callStats().callCount();
         assertTrue(listsPerCall < (fault == WatchFault.OUTAGE ? 1.1 : 0.5),
--- a/lab/src/test/java/passhatch/lab/discovery/DiscoveryCallQueueTest.java
+++ b/lab/src/test/java/passhatch/lab/discovery/DiscoveryCallQueueTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Calls one after another, on a clock that only the test moves. */
+/** Service order, waits and rejections of the call queue, on a clock that the test controls. */
 final class DiscoveryCallQueueTest {
 
     private final MockTicker ticker = Ticker.newMockTicker();
@@ -96,7 +96,7 @@
         assertEquals(List.of("a after 10", "c after 20"), events);
     }
 
-    /** A timer rings late; the calls behind must not pay for it. */
+    /** A timer that runs late must not delay the calls queued behind. */
     @Test
     void aLateTimerDoesNotDelayLaterCalls() {
         DiscoveryCallQueue queue = createQueue(10);
--- a/lab/src/test/java/passhatch/lab/discovery/DiscoveryServerTest.java
+++ b/lab/src/test/java/passhatch/lab/discovery/DiscoveryServerTest.java
@@ -30,7 +30,7 @@
 import passhatch.lab.discovery.DiscoveryServer.Mode;
 import passhatch.lab.discovery.Endpoint.Status;
 
-/** The stand-in held against the protocol page, and the ways in which it can be made to fail. */
+/** Checks the stand-in for discovery against the protocol page, and its failure modes. */
 @Timeout(60)
 final class DiscoveryServerTest {
 
@@ -73,7 +73,7 @@
         return line;
     }
 
-    /** Index, whether whole, and the names with their states. */
+    /** Summarizes a message: its index, whether it is a full list, and each backend's name and status. */
     private static String summary(String json) throws IOException {
         Map<String, Object> update = JSON.std.mapFrom(json);
         StringBuilder summary = new StringBuilder().append(update.get("index"))
--- a/lab/src/test/java/passhatch/lab/latency/OpenLoopLoadTest.java
+++ b/lab/src/test/java/passhatch/lab/latency/OpenLoopLoadTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The load keeps its plan whatever becomes of its calls. */
+/** The load sends its requests as planned, independently of how the calls end. */
 @Timeout(60)
 final class OpenLoopLoadTest {
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /** With too few connections what waits for one is not sent, and is still planned. */
+    /** With too few connections, queued requests are not sent but still count as planned. */
     @ParameterizedTest
     @CsvSource({"60, 60", "7, 7"})
     void aStalledBackendDoesNotDelayPlannedRequests(int connections, int maxSent) throws Exception {
@@ -49,7 +49,10 @@
         }
     }
 
-    /** The backend stands still for the whole load: the first to come has waited longest, the last least. */
+    /**
+     * The backend is stalled during the whole load, so the first request has the highest latency and the last
+     * the lowest.
+     */
     @Test
     void latencyCountsFromThePlannedTime() throws Exception {
         try (StubBackends backends = new StubBackends(1);
--- a/lab/src/test/java/passhatch/lab/latency/ProxyProcessTest.java
+++ b/lab/src/test/java/passhatch/lab/latency/ProxyProcessTest.java
@@ -13,7 +13,7 @@
 import passhatch.lab.discovery.DiscoveryServer;
 import passhatch.lab.discovery.Endpoint;
 
-/** The whole way of a measured call, with the proxy as the deploy file runs it. */
+/** The path of a measured call from load to backend, with the proxy started as in the deploy file. */
 @Timeout(120)
 final class ProxyProcessTest {
 
--- a/lab/src/test/java/passhatch/lab/soak/DiscoveryOverloadTest.java
+++ b/lab/src/test/java/passhatch/lab/soak/DiscoveryOverloadTest.java
@@ -14,9 +14,10 @@
 import passhatch.lab.discovery.Endpoint.Status;
 
 /**
- * The incident of 2026-12-02 with real processes: discovery refuses all calls for some seconds, and a
- * server is removed once it serves again. Its capacity is enough for a fleet that waits between calls, and
- * not for one that asks several times a second.
+ * Guards against the failure of 2026-12-02, with real processes: discovery answers all calls 503 for some
+ * seconds, and a server is removed once discovery serves again. Discovery has enough capacity for proxies
+ * that back off between calls, but is overloaded if they call several times a second; then they learn of the
+ * removal too late.
  */
 @Timeout(180)
 final class DiscoveryOverloadTest {
--- a/lab/src/test/java/passhatch/lab/soak/OracleTest.java
+++ b/lab/src/test/java/passhatch/lab/soak/OracleTest.java
@@ -13,7 +13,7 @@
 import passhatch.lab.soak.Oracle.Rule;
 import passhatch.lab.soak.Oracle.Violation;
 
-/** Each rule of the oracle: what breaks it, and what comes close and does not. */
+/** For each rule of the oracle, observations that violate it and others that are just within its limits. */
 final class OracleTest {
 
     private static final long SECOND_NS = 1_000_000_000L;
--- a/lab/src/test/java/passhatch/lab/soak/SystemCallFaultsTest.java
+++ b/lab/src/test/java/passhatch/lab/soak/SystemCallFaultsTest.java
@@ -14,20 +14,20 @@
 import passhatch.lab.discovery.CallCosts;
 import passhatch.lab.discovery.Endpoint.Status;
 
-/** Real processes whose system calls fail for a while. */
+/** Checks that real proxy processes recover after system calls have failed for some time. */
 @Timeout(120)
 final class SystemCallFaultsTest {
 
     private static final int PROXIES = 2;
     private static final int BACKENDS = 4;
     private static final int FAULT_DURATION_MS = 300;
-    /** Netty's own pause is a second. */
+    /** Less than the pause of 1 s that Netty makes by itself after a failed accept. */
     private static final int MAX_WAIT_MS = 500;
 
     @TempDir
     Path directory;
 
-    /** Its client's time runs while a connection waits to be taken. */
+    /** While a connection waits to be accepted, the deadline of its client's request comes closer. */
     @Test
     void aConnectionIsAcceptedSoonAfterAcceptFailed() throws Exception {
         SoakRun.Size size = new SoakRun.Size(1, BACKENDS, Duration.ZERO, 0, true, CallCosts.NONE);
@@ -48,7 +48,10 @@
         }
     }
 
-    /** No socket can be made while a watch ends: discovery must be called again, and calls go on. */
+    /**
+     * If no socket can be created when a watch ends, the proxy must call discovery again later and keep
+     * serving.
+     */
     @Test
     void aWatchIsReopenedAfterSocketCreationFailed() throws Exception {
         for (boolean discoveryOnRequest : new boolean[] {true, false}) {
