--- a/src/test/java/passhatch/LogicTest.java
+++ b/src/test/java/passhatch/LeastLoadedBalancerTest.java
@@ -34,7 +34,7 @@
  * the
  * module, records the actions that the module requests, and advances virtual time only when a test does.
  */
-class LogicTest {
+class LeastLoadedBalancerTest {
 
     private static final long MS = FakeProxy.MS;
 
