--- a/src/main/java/passhatch/LeastLoadedBalancer.java
+++ b/src/main/java/passhatch/LeastLoadedBalancer.java
@@ -595,7 +595,7 @@
             giveUp(nowUs, call, GiveUpReason.BEYOND_SHARE);
         } else if (server == null) {
             operatorLog.warn(nowUs, call.requestClass.name(),
-                    " waits: every server it may use is too crowded, rests or is cold");
+                    " is queued: every server it may use is overloaded, ejected or warming up");
             call.wasQueued = true;
             call.probeRounds = 0;
             queue.add(call, Math.max(nowUs + 1, call.usefulUntilUs - (long) minLatencyUs(call)));
@@ -1054,7 +1054,7 @@
                             < FAILURE_STREAK_SIGNIFICANCE) {
                 server.ejectedUntilUs = nowUs
                         + (BASE_EJECTION_US << Math.min(server.failureEjections++, MAX_BACKOFF_DOUBLINGS));
-                operatorLog.warn(nowUs, server.id, " rests: connections to it fail");
+                operatorLog.warn(nowUs, server.id, " is ejected: connections to it fail");
             }
         }
     }
--- a/src/main/java/passhatch/proxy/DiscoveryCalls.java
+++ b/src/main/java/passhatch/proxy/DiscoveryCalls.java
@@ -126,7 +126,7 @@
                 names.append(' ').append(server.id()).append('=').append(server.status());
             }
         }
-        log.line(Kind.DISCOVERY, call + " told list " + list.index() + (list.full() ? " (full): " : ": ")
+        log.line(Kind.DISCOVERY, call + " received list " + list.index() + (list.full() ? " (full): " : ": ")
                 + servers.size() + " servers" + names + (changedCount > MAX_NAMED_SERVERS ? " ..." : ""));
     }
 
--- a/src/test/java/passhatch/LeastLoadedBalancerTest.java
+++ b/src/test/java/passhatch/LeastLoadedBalancerTest.java
@@ -860,7 +860,7 @@
             for (int i = 0; i < 2; i++) {
                 proxy.endAttempt(proxy.request(FakeProxy.SAFE), Outcome.CONNECT_FAILED);
             }
-            assertEquals(List.of("a rests: connections to it fail"), logLines(proxy));
+            assertEquals(List.of("a is ejected: connections to it fail"), logLines(proxy));
             proxy.request(FakeProxy.UNSAFE);
             assertEquals(1, logLines(proxy).size(), "at most one line is logged in ten seconds");
             proxy.advanceTime(10_000);
@@ -868,7 +868,8 @@
             proxy.request(FakeProxy.UNSAFE);
             proxy.request(FakeProxy.UNSAFE);
             assertEquals(
-                    List.of("UNSAFE-ALL waits: every server it may use is too crowded, rests or is cold"),
+                    List.of("UNSAFE-ALL is queued:"
+                            + " every server it may use is overloaded, ejected or warming up"),
                     logLines(proxy).subList(1, logLines(proxy).size()));
         }
     }
--- a/src/test/java/passhatch/proxy/LargeBodiesTest.java
+++ b/src/test/java/passhatch/proxy/LargeBodiesTest.java
@@ -639,6 +639,7 @@
         assertEquals("taken", client.read().text());
         assertEquals(RequestReader.MAX_BODY_BYTES, receivedBytes.get());
         assertEquals(List.of(), rig.log.toString(StandardCharsets.UTF_8).lines()
-                .filter(line -> !line.contains(" discovery call 1 (watch from 7) told list 8 ")).toList());
+                .filter(line -> !line.contains(" discovery call 1 (watch from 7) received list 8 "))
+                .toList());
     }
 }
