--- a/src/main/java/passhatch/proxy/BackendPool.java
+++ b/src/main/java/passhatch/proxy/BackendPool.java
@@ -603,11 +603,11 @@
             if (pending.sink != null) {
                 streamPart(part);
             } else {
-                boolean bodyHadNotBegun = !reader.mayExceedBuffer();
+                boolean bodyHadNotStarted = !reader.mayExceedBuffer();
                 pendingResult = reader.read(part);
                 if (pendingResult == null && reader.exceedsBuffer()) {
                     startStreaming();
-                } else if (pendingResult == null && bodyHadNotBegun && reader.mayExceedBuffer()) {
+                } else if (pendingResult == null && bodyHadNotStarted && reader.mayExceedBuffer()) {
                     ResponseReader scheduledReader = reader;
                     loop.schedule(() -> {
                         if (reader == scheduledReader && pendingResult == null && pending != null
--- a/src/main/java/passhatch/proxy/EventLog.java
+++ b/src/main/java/passhatch/proxy/EventLog.java
@@ -39,8 +39,8 @@
 
         private final int maxLinesPerWindow;
 
-        Kind(int mostLines) {
-            this.maxLinesPerWindow = mostLines;
+        Kind(int maxLinesPerWindow) {
+            this.maxLinesPerWindow = maxLinesPerWindow;
         }
     }
 
--- a/src/main/java/passhatch/proxy/Metrics.java
+++ b/src/main/java/passhatch/proxy/Metrics.java
@@ -19,8 +19,8 @@
 
         private final String metric;
 
-        RequestResult(String figure) {
-            this.metric = figure;
+        RequestResult(String metric) {
+            this.metric = metric;
         }
     }
 
--- a/src/main/java/passhatch/proxy/SendGuard.java
+++ b/src/main/java/passhatch/proxy/SendGuard.java
@@ -48,14 +48,14 @@
     /**
      * What the network code knows just before an attempt is written.
      *
-     * @param answered whether the request has its response, or a streamed one has begun
+     * @param responseStarted whether the request has its response, or a streamed one has begun
      * @param clientPresent whether the client is still connected
      * @param backendUp whether the backend is listed and not draining
-     * @param bodyHeld whether the whole body can still be sent
+     * @param bodyBuffered whether the whole body can still be sent
      * @param allowed whether the decision module still allows the attempt
      */
-    record WriteConditions(boolean answered, boolean clientPresent, boolean backendUp, boolean bodyHeld,
-            boolean allowed) { }
+    record WriteConditions(boolean responseStarted, boolean clientPresent, boolean backendUp,
+            boolean bodyBuffered, boolean allowed) { }
 
     /**
      * An attempt that is being written. Its components appear in the log lines of violations.
@@ -106,7 +106,7 @@
     }
 
     private static HeldBack reasonNotToWrite(WriteConditions conditions) {
-        if (conditions.answered()) {
+        if (conditions.responseStarted()) {
             return HeldBack.ANSWERED;
         }
         if (!conditions.clientPresent()) {
@@ -115,7 +115,7 @@
         if (!conditions.backendUp()) {
             return HeldBack.BACKEND_GONE;
         }
-        if (!conditions.bodyHeld()) {
+        if (!conditions.bodyBuffered()) {
             return HeldBack.BODY_SPENT;
         }
         return conditions.allowed() ? null : HeldBack.FORBIDDEN;
--- a/src/main/java/passhatch/proxy/StateDirectory.java
+++ b/src/main/java/passhatch/proxy/StateDirectory.java
@@ -115,7 +115,7 @@
         FileLock lock = null;
         try {
             lock = channel.tryLock();
-        } catch (OverlappingFileLockException held) {
+        } catch (OverlappingFileLockException alreadyLocked) {
             // Held by this JVM, which happens in tests that run two proxies in one process.
         }
         if (lock == null) {
@@ -148,7 +148,7 @@
             if (channel.tryLock() == null) {
                 return true;
             }
-        } catch (OverlappingFileLockException held) {
+        } catch (OverlappingFileLockException alreadyLocked) {
             return true;
         } catch (NoSuchFileException gone) {
             return false;
--- a/src/test/java/passhatch/FakeProxy.java
+++ b/src/test/java/passhatch/FakeProxy.java
@@ -78,7 +78,7 @@
         }
     }
 
-    final LeastLoadedBalancer logic;
+    final LeastLoadedBalancer balancer;
     /** The module's actions, each as its name and its arguments separated by spaces. */
     final List<String> actions = new ArrayList<>();
     /** Servers whose probes are not answered yet. */
@@ -92,7 +92,7 @@
     private int requestCount;
 
     FakeProxy(Setup setup, long seed) {
-        logic = new LeastLoadedBalancer(setup.settings(), seed, this);
+        balancer = new LeastLoadedBalancer(setup.settings(), seed, this);
     }
 
     FakeProxy(Setup setup) {
@@ -105,13 +105,13 @@
         for (String id : ids) {
             list.add(new Server(id, 0, list.size() / 2, list.size() / 2, ServerStatus.UP));
         }
-        logic.serversChanged(nowUs, ListKind.CACHED, list);
+        balancer.serversChanged(nowUs, ListKind.CACHED, list);
         return this;
     }
 
     /** Reports a changed server of zone 0. */
     void changeServer(String id, long startedAtUs, ServerStatus status) {
-        logic.serversChanged(nowUs, ListKind.CHANGES, List.of(new Server(id, startedAtUs, 0, 0, status)));
+        balancer.serversChanged(nowUs, ListKind.CHANGES, List.of(new Server(id, startedAtUs, 0, 0, status)));
     }
 
     /** Makes a request of tenant 0 and returns its id. */
@@ -122,7 +122,7 @@
     /** Makes a request whose client waits 1 s, and returns its id. */
     String request(int requestClass, int tenant) {
         String id = "r" + requestCount++;
-        logic.request(nowUs, new Request(id, requestClass, tenant, 1_000 * MS, 0, false));
+        balancer.request(nowUs, new Request(id, requestClass, tenant, 1_000 * MS, 0, false));
         return id;
     }
 
@@ -142,7 +142,8 @@
      * OK.
      */
     void endAttempt(String request, int attempt, Outcome outcome) {
-        logic.outcome(nowUs, request, attempt, serversByRequest.get(request).get(attempt), outcome, 50 * MS,
+        balancer.outcome(nowUs, request, attempt, serversByRequest.get(request).get(attempt), outcome,
+                50 * MS,
                 outcome == Outcome.OK, null);
     }
 
@@ -166,8 +167,8 @@
 
     /** Answers a probe of a server. */
     void reportLoad(String server, int inFlight) {
-        logic.probeResult(nowUs, server, Outcome.OK, 1 * MS, new LoadReport(inFlight, Math.max(0, inFlight
-                - 1), 0));
+        balancer.probeResult(nowUs, server, Outcome.OK, 1 * MS,
+                new LoadReport(inFlight, Math.max(0, inFlight - 1), 0));
     }
 
     /** Advances the time and calls the timer when it is due. */
@@ -176,7 +177,7 @@
         while (wakeAtUs <= untilUs) {
             nowUs = Math.max(nowUs, wakeAtUs);
             wakeAtUs = Long.MAX_VALUE;
-            logic.timer(nowUs);
+            balancer.timer(nowUs);
         }
         nowUs = untilUs;
     }
--- a/src/test/java/passhatch/LeastLoadedBalancerTest.java
+++ b/src/test/java/passhatch/LeastLoadedBalancerTest.java
@@ -96,7 +96,7 @@
                 String server = proxy.latestServer(request);
                 requestsByServer.merge(server, 1, Integer::sum);
                 proxy.advanceTime(100);
-                proxy.logic.outcome(proxy.nowUs, request, 0, server, Outcome.OK,
+                proxy.balancer.outcome(proxy.nowUs, request, 0, server, Outcome.OK,
                         server.equals("a") ? 100 * MS : 50 * MS,
                         true, null);
             }
@@ -281,7 +281,7 @@
                     proxy.endAttempt(request, attempt,
                             random.nextDouble() < failureRate ? failure : Outcome.OK);
                 }
-                requestsWithEjection += proxy.logic.serverCounts(proxy.nowUs).unavailable() > 0 ? 1 : 0;
+                requestsWithEjection += proxy.balancer.serverCounts(proxy.nowUs).unavailable() > 0 ? 1 : 0;
             }
             return requestsWithEjection / 4_000.0;
         }
@@ -354,7 +354,7 @@
         void sendsNoFinalResponseOnceTheClientHasGone() {
             FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
             String request = proxy.request(FakeProxy.SAFE);
-            proxy.logic.clientGone(proxy.nowUs, request);
+            proxy.balancer.clientGone(proxy.nowUs, request);
             proxy.endAttempt(request, Outcome.ERROR);
             proxy.advanceTime(2_000);
             assertEquals(0, proxy.countActions("fail") + proxy.countActions("refuse"));
@@ -367,9 +367,9 @@
             FakeProxy proxy = new FakeProxy(setup()).withServers("a");
             proxy.serve();
             int actionsBefore = proxy.actions.size();
-            proxy.logic.clientGone(proxy.nowUs, "r0");
-            proxy.logic.outcome(proxy.nowUs, "r0", 0, "a", Outcome.OK, 1, true, null);
-            proxy.logic.outcome(proxy.nowUs, "unknown", 3, "a", Outcome.ERROR, 1, false, null);
+            proxy.balancer.clientGone(proxy.nowUs, "r0");
+            proxy.balancer.outcome(proxy.nowUs, "r0", 0, "a", Outcome.OK, 1, true, null);
+            proxy.balancer.outcome(proxy.nowUs, "unknown", 3, "a", Outcome.ERROR, 1, false, null);
             assertEquals(actionsBefore, proxy.actions.size());
         }
 
@@ -377,7 +377,7 @@
         void neverSendsARequestThatEndedWhileItWaited() {
             FakeProxy proxy = new FakeProxy(setup()).withServers();
             String request = proxy.request(FakeProxy.SAFE);
-            proxy.logic.clientGone(proxy.nowUs, request);
+            proxy.balancer.clientGone(proxy.nowUs, request);
             proxy.changeServer("a", 0, ServerStatus.UP);
             proxy.advanceTime(2_000);
             assertEquals(0, proxy.countActions("send"));
@@ -511,7 +511,7 @@
                     Effect.SAFE,
                     DedupScope.ALL, 0, allowedZones, allowedMachineTypes));
             FakeProxy proxy = new FakeProxy(setup);
-            proxy.logic.serversChanged(proxy.nowUs, ListKind.CACHED, List.of(
+            proxy.balancer.serversChanged(proxy.nowUs, ListKind.CACHED, List.of(
                     new Server("a", 0, 0, 0, ServerStatus.UP, 0), new Server("b", 0, 0, 0,
                             ServerStatus.UP, 1),
                     new Server("c", 0, 1, 0, ServerStatus.UP, 0), new Server("d", 0, 1, 0,
@@ -558,7 +558,7 @@
         void aWaitingCallTakesTheFirstAllowedServer() {
             FakeProxy proxy = proxyWithRestrictedClass(Set.of(3), null);
             String request = proxy.request(RESTRICTED_CLASS);
-            proxy.logic.serversChanged(proxy.nowUs, ListKind.CHANGES, List.of(
+            proxy.balancer.serversChanged(proxy.nowUs, ListKind.CHANGES, List.of(
                     new Server("e", 0, 3, 0, ServerStatus.UP, 0)));
             proxy.advanceTime(300);
             assertEquals("e", proxy.latestServer(request));
@@ -574,7 +574,7 @@
             FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c", "d");
             proxy.changeServer("a", 0, ServerStatus.DRAINING);
             proxy.changeServer("b", 0, ServerStatus.GONE);
-            proxy.logic.serversChanged(proxy.nowUs, ListKind.FULL, List.of(
+            proxy.balancer.serversChanged(proxy.nowUs, ListKind.FULL, List.of(
                     new Server("a", 0, 0, 0, ServerStatus.DRAINING), new Server("d", 0, 0, 0,
                             ServerStatus.UP)));
             for (int i = 0; i < 10; i++) {
@@ -599,13 +599,13 @@
                     proxy.request(FakeProxy.SAFE));
             String requestToA = requests.stream().filter(request -> proxy.latestServer(request).equals("a"))
                     .findFirst().orElseThrow();
-            proxy.logic.serversChanged(proxy.nowUs, ListKind.CHANGES, List.of(
+            proxy.balancer.serversChanged(proxy.nowUs, ListKind.CHANGES, List.of(
                     new Server("a", 0, 0, 0, ServerStatus.DRAINING), new Server("b", 0, 0, 0,
                             ServerStatus.DRAINING)));
             assertEquals(List.of(1, 1, 0),
                     List.of(proxy.countActions("close a"), proxy.countActions("close b"),
                     proxy.countActions("close c")));
-            proxy.logic.serversChanged(proxy.nowUs, ListKind.FULL, List.of(new Server("c", 0, 0, 0,
+            proxy.balancer.serversChanged(proxy.nowUs, ListKind.FULL, List.of(new Server("c", 0, 0, 0,
                     ServerStatus.UP)));
             proxy.advanceTime(100);
             proxy.endAttempt(requestToA, Outcome.OK);
@@ -647,7 +647,7 @@
             assertEquals(1, proxy.countActions("watch"));
             long backoffUs = 0;
             for (int i = 1; i < 6; i++) {
-                proxy.logic.discoveryFailed(proxy.nowUs, Balancer.DiscoveryFailure.REFUSED);
+                proxy.balancer.discoveryFailed(proxy.nowUs, Balancer.DiscoveryFailure.REFUSED);
                 long failedAtUs = proxy.nowUs;
                 while (proxy.countActions("watch") == i) {
                     proxy.advanceTime(10);
@@ -662,7 +662,7 @@
         @Test
         void doesNotWatchDiscoveryWhereListsArePushed() {
             FakeProxy proxy = new FakeProxy(setup()).withServers("a");
-            proxy.logic.discoveryFailed(proxy.nowUs, Balancer.DiscoveryFailure.REFUSED);
+            proxy.balancer.discoveryFailed(proxy.nowUs, Balancer.DiscoveryFailure.REFUSED);
             assertEquals(0, proxy.countActions("watch"));
         }
     }
@@ -689,7 +689,7 @@
                 String inFlight = proxy.request(FakeProxy.UNSAFE);
                 proxy.reportIdle();
                 String server = proxy.latestServer(inFlight);
-                proxy.logic.serversChanged(proxy.nowUs, ListKind.FULL, List.of());
+                proxy.balancer.serversChanged(proxy.nowUs, ListKind.FULL, List.of());
                 String queued = proxy.request(FakeProxy.SAFE);
                 assertNull(proxy.latestServer(queued), "sent to a server that is gone");
                 proxy.endAttempt(inFlight, Outcome.OK);
@@ -709,9 +709,9 @@
             proxy.endAttempt(request, Outcome.OK);
             int actionsBefore = proxy.actions.size();
             proxy.endAttempt(request, Outcome.RESET);
-            proxy.logic.outcome(proxy.nowUs, "never", 3, "nowhere", Outcome.OK, 1, true, null);
-            proxy.logic.probeResult(proxy.nowUs, "nowhere", Outcome.TIMEOUT, 1, null);
-            proxy.logic.clientGone(proxy.nowUs, request);
+            proxy.balancer.outcome(proxy.nowUs, "never", 3, "nowhere", Outcome.OK, 1, true, null);
+            proxy.balancer.probeResult(proxy.nowUs, "nowhere", Outcome.TIMEOUT, 1, null);
+            proxy.balancer.clientGone(proxy.nowUs, request);
             assertEquals(actionsBefore, proxy.actions.size(),
                     "acted on an event for an ended or unknown request");
         }
@@ -793,7 +793,7 @@
             for (int i = 0; i < 3; i++) {
                 String request = proxy.request(FakeProxy.SAFE);
                 proxy.advanceTime(390);
-                proxy.logic.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, 390 * MS, true, null);
+                proxy.balancer.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, 390 * MS, true, null);
             }
             assertNull(proxy.latestServer(proxy.request(FakeProxy.SAFE)),
                     "sent to a server that other replicas overload");
@@ -817,7 +817,7 @@
                 long latencyMs = i < 20 ? 20 : laterLatencyMs;
                 String request = proxy.request(FakeProxy.SAFE);
                 proxy.advanceTime(latencyMs);
-                proxy.logic.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, latencyMs * MS, true, null);
+                proxy.balancer.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, latencyMs * MS, true, null);
             }
             for (int i = 0; i < 3; i++) {
                 proxy.request(FakeProxy.SAFE);
@@ -864,7 +864,7 @@
             proxy.request(FakeProxy.UNSAFE);
             assertEquals(1, logLines(proxy).size(), "at most one line is logged in ten seconds");
             proxy.advanceTime(10_000);
-            proxy.logic.serversChanged(proxy.nowUs, ListKind.FULL, List.of());
+            proxy.balancer.serversChanged(proxy.nowUs, ListKind.FULL, List.of());
             proxy.request(FakeProxy.UNSAFE);
             proxy.request(FakeProxy.UNSAFE);
             assertEquals(
@@ -991,7 +991,7 @@
             for (int i = 0; i < 12; i++) {
                 servers.add(new Server("s" + i, 0, i < 6 ? 0 : 1, 0, ServerStatus.UP));
             }
-            proxy.logic.serversChanged(proxy.nowUs, ListKind.CACHED, servers);
+            proxy.balancer.serversChanged(proxy.nowUs, ListKind.CACHED, servers);
             for (int i = 0; i < 30; i++) {
                 assertTrue(Integer.parseInt(proxy.serve().substring(1)) < 6,
                         "sent to another zone while its own was idle");
@@ -1289,7 +1289,7 @@
             // attract each call that finds the reachable servers busy.
             FakeProxy proxy = proxyAfterServedCalls("a", "b", "c");
             for (String unreachable : List.of("a", "b", "a", "b")) {
-                proxy.logic.probeResult(proxy.nowUs, unreachable, Outcome.TIMEOUT, 50 * MS, null);
+                proxy.balancer.probeResult(proxy.nowUs, unreachable, Outcome.TIMEOUT, 50 * MS, null);
             }
             int firstAction = proxy.actions.size();
             String request = proxy.request(FakeProxy.SAFE);
@@ -1327,7 +1327,7 @@
             assertNull(proxy.latestServer(queued.get(0)));
             proxy.advanceTime(260);
             for (String request : sent) {
-                proxy.logic.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, 360 * MS, true, null);
+                proxy.balancer.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, 360 * MS, true, null);
             }
             for (String request : queued) {
                 assertTrue(proxy.latestServer(request) != null || proxy.hasAction("refuse " + request)
@@ -1456,10 +1456,11 @@
                 proxy.serve();
             }
             long firstTryUs = 600 * MS;
-            proxy.logic.request(proxy.nowUs, new Request("first", FakeProxy.SAFE, 0, firstTryUs, 0, false));
-            proxy.logic.request(proxy.nowUs, new Request("again", FakeProxy.SAFE, 0, firstTryUs, 0, true));
-            proxy.logic.request(proxy.nowUs, new Request("soon", FakeProxy.SAFE, 0, 900 * MS, 0, true));
-            proxy.logic.request(proxy.nowUs, new Request("late", FakeProxy.SAFE, 0, 500 * MS, 0, true));
+            proxy.balancer.request(proxy.nowUs,
+                    new Request("first", FakeProxy.SAFE, 0, firstTryUs, 0, false));
+            proxy.balancer.request(proxy.nowUs, new Request("again", FakeProxy.SAFE, 0, firstTryUs, 0, true));
+            proxy.balancer.request(proxy.nowUs, new Request("soon", FakeProxy.SAFE, 0, 900 * MS, 0, true));
+            proxy.balancer.request(proxy.nowUs, new Request("late", FakeProxy.SAFE, 0, 500 * MS, 0, true));
             assertNotNull(proxy.latestServer("first"));
             assertNotNull(proxy.latestServer("again"),
                     "a retry with the time of a first try does not show when that one was made");
@@ -1496,7 +1497,7 @@
                 String request = proxy.request(FakeProxy.SAFE);
                 proxy.advanceTime(900);
                 if (proxy.latestServer(request) != null) {
-                    proxy.logic.outcome(proxy.nowUs, request, 0, proxy.latestServer(request), Outcome.OK,
+                    proxy.balancer.outcome(proxy.nowUs, request, 0, proxy.latestServer(request), Outcome.OK,
                             900 * MS, true,
                             null);
                 }
@@ -1552,7 +1553,7 @@
 
         private void disable(FakeProxy proxy, String... servers) {
             for (String server : servers) {
-                proxy.logic.disable(proxy.nowUs, server);
+                proxy.balancer.disable(proxy.nowUs, server);
             }
         }
 
@@ -1626,7 +1627,7 @@
             FakeProxy proxy = proxyWithoutSlowStart();
             disable(proxy, "a", "b", "c", "d");
             List<String> queued = List.of(proxy.request(FakeProxy.SAFE), proxy.request(FakeProxy.UNSAFE));
-            proxy.logic.enable(proxy.nowUs, "c");
+            proxy.balancer.enable(proxy.nowUs, "c");
             queued.forEach(request -> assertEquals("c", proxy.latestServer(request)));
         }
 
@@ -1641,7 +1642,7 @@
             for (int i = 0; i < 20; i++) {
                 allowedInZone1.add(proxy.request(SECOND_ADDED_CLASS));
             }
-            proxy.logic.enable(proxy.nowUs, "a");
+            proxy.balancer.enable(proxy.nowUs, "a");
             assertEquals("a", proxy.latestServer(allowedInZone0));
             allowedInZone1.forEach(request -> assertNull(proxy.latestServer(request)));
         }
@@ -1657,10 +1658,10 @@
             }
             assertEquals(Set.of("a", "c"), new HashSet<>(firstServers.values()));
             firstServers.keySet().forEach(request -> proxy.endAttempt(request, Outcome.RESET));
-            proxy.logic.enable(proxy.nowUs, "b");
+            proxy.balancer.enable(proxy.nowUs, "b");
             firstServers.forEach((request, firstServer) ->
                     assertEquals(firstServer.equals("a") ? "b" : "c", proxy.latestServer(request)));
-            proxy.logic.enable(proxy.nowUs, "d");
+            proxy.balancer.enable(proxy.nowUs, "d");
             firstServers.forEach((request, firstServer) ->
                     assertEquals(firstServer.equals("a") ? "b" : "d", proxy.latestServer(request)));
         }
@@ -1673,8 +1674,8 @@
         @Test
         void aDisabledServerGetsNoRequests() {
             FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
-            proxy.logic.disable(proxy.nowUs, "a");
-            assertTrue(proxy.logic.isDisabled("a"));
+            proxy.balancer.disable(proxy.nowUs, "a");
+            assertTrue(proxy.balancer.isDisabled("a"));
             for (int i = 0; i < 6; i++) {
                 assertEquals("b", proxy.latestServer(proxy.request(FakeProxy.SAFE)));
             }
@@ -1684,11 +1685,11 @@
         @Test
         void staysDisabledWhateverListsSay() {
             FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
-            proxy.logic.disable(proxy.nowUs, "a");
+            proxy.balancer.disable(proxy.nowUs, "a");
             proxy.changeServer("a", 0, ServerStatus.GONE);
             proxy.changeServer("a", proxy.nowUs, ServerStatus.UP);
             assertEquals("b", proxy.serve());
-            proxy.logic.serversChanged(proxy.nowUs, ListKind.FULL, List.of(
+            proxy.balancer.serversChanged(proxy.nowUs, ListKind.FULL, List.of(
                     new Server("a", proxy.nowUs - 1, 0, 0, ServerStatus.UP),
                     new Server("b", 0, 0, 0, ServerStatus.UP)));
             proxy.advanceTime(20_000);
@@ -1702,7 +1703,7 @@
             FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b");
             String call = proxy.request(FakeProxy.SAFE);
             String otherServer = proxy.latestServer(call).equals("a") ? "b" : "a";
-            proxy.logic.disable(proxy.nowUs, otherServer);
+            proxy.balancer.disable(proxy.nowUs, otherServer);
             proxy.endAttempt(call, Outcome.CONNECT_FAILED);
             assertEquals(1, proxy.attemptCounts.get(call),
                     "the call was retried although the only other server is disabled");
@@ -1713,12 +1714,12 @@
             FakeProxy.Setup withoutSlowStart = setup();
             withoutSlowStart.coldFrom = 1;
             FakeProxy proxy = new FakeProxy(withoutSlowStart).withServers("a", "b");
-            proxy.logic.disable(proxy.nowUs, "a");
-            proxy.logic.disable(proxy.nowUs, "b");
+            proxy.balancer.disable(proxy.nowUs, "a");
+            proxy.balancer.disable(proxy.nowUs, "b");
             String call = proxy.request(FakeProxy.SAFE);
             proxy.advanceTime(100);
             assertNull(proxy.latestServer(call));
-            proxy.logic.enable(proxy.nowUs, "b");
+            proxy.balancer.enable(proxy.nowUs, "b");
             proxy.advanceTime(100);
             assertEquals("b", proxy.latestServer(call));
         }
@@ -1726,7 +1727,7 @@
         @Test
         void callsAreEndedWhereAllStayDisabled() {
             FakeProxy proxy = new FakeProxy(setup()).withServers("a");
-            proxy.logic.disable(proxy.nowUs, "a");
+            proxy.balancer.disable(proxy.nowUs, "a");
             String call = proxy.request(FakeProxy.SAFE);
             proxy.advanceTime(2_000);
             assertNull(proxy.latestServer(call));
@@ -1742,10 +1743,10 @@
             for (int i = 0; i < 30; i++) {
                 proxy.serve();
             }
-            proxy.logic.disable(proxy.nowUs, "a");
-            proxy.logic.disable(proxy.nowUs, "a");
-            proxy.logic.enable(proxy.nowUs, "a");
-            assertFalse(proxy.logic.isDisabled("a"));
+            proxy.balancer.disable(proxy.nowUs, "a");
+            proxy.balancer.disable(proxy.nowUs, "a");
+            proxy.balancer.enable(proxy.nowUs, "a");
+            assertFalse(proxy.balancer.isDisabled("a"));
             int callsDuringSlowStart = 0;
             for (int i = 0; i < 30; i++) {
                 callsDuringSlowStart += proxy.serve().equals("a") ? 1 : 0;
@@ -1775,9 +1776,9 @@
             }
             assertEquals(5, subset.size());
             for (String server : List.of("a", "b", "c", "d", "e", "f", "g")) {
-                proxy.logic.disable(proxy.nowUs, server);
+                proxy.balancer.disable(proxy.nowUs, server);
                 proxy.advanceTime(100);
-                proxy.logic.enable(proxy.nowUs, server);
+                proxy.balancer.enable(proxy.nowUs, server);
                 int requestsBefore = proxy.serversByRequest.size();
                 Set<String> used = new HashSet<>();
                 for (int i = 0; i < 60 && !used.contains(server); i++) {
@@ -1807,11 +1808,11 @@
                     subset.add(proxy.serve());
                 }
                 for (String server : List.of("a", "b", "c", "d", "e", "f", "g")) {
-                    proxy.logic.disable(proxy.nowUs, server);
+                    proxy.balancer.disable(proxy.nowUs, server);
                     if (listedAsGone) {
                         proxy.changeServer(server, 0, ServerStatus.GONE);
                     }
-                    proxy.logic.enable(proxy.nowUs, server);
+                    proxy.balancer.enable(proxy.nowUs, server);
                     proxy.advanceTime(50);
                     proxy.changeServer(server, proxy.nowUs, ServerStatus.UP);
                     boolean used = false;
@@ -1843,8 +1844,8 @@
                 }
                 proxy.advanceTime(10);
             }
-            proxy.logic.disable(proxy.nowUs, "a");
-            proxy.logic.enable(proxy.nowUs, "a");
+            proxy.balancer.disable(proxy.nowUs, "a");
+            proxy.balancer.enable(proxy.nowUs, "a");
             Set<String> used = new HashSet<>();
             for (int i = 0; i < 10; i++) {
                 used.add(proxy.serve());
@@ -1856,7 +1857,7 @@
         void idleConnectionsAreClosedAtOnceAndAfterTheLastCall() {
             FakeProxy proxy = new FakeProxy(setup()).withServers("a");
             String call = proxy.request(FakeProxy.SAFE);
-            proxy.logic.disable(proxy.nowUs, "a");
+            proxy.balancer.disable(proxy.nowUs, "a");
             assertEquals(1, proxy.countActions("close a"));
             proxy.endAttempt(call, Outcome.OK);
             assertEquals(2, proxy.countActions("close a"));
@@ -1865,24 +1866,24 @@
         @Test
         void serversAreKnownOnceListedAndAreCounted() {
             FakeProxy proxy = new FakeProxy(setup()).withServers("a", "b", "c");
-            assertFalse(proxy.logic.knows("z"));
+            assertFalse(proxy.balancer.knows("z"));
             proxy.changeServer("d", 0, ServerStatus.DRAINING);
             proxy.changeServer("c", 0, ServerStatus.GONE);
-            assertTrue(proxy.logic.knows("c"), "a server that was listed once must stay known");
-            assertEquals(new Balancer.ServerCounts(3, 1), proxy.logic.serverCounts(proxy.nowUs));
-            proxy.logic.disable(proxy.nowUs, "a");
-            proxy.logic.disable(proxy.nowUs, "c");
-            assertEquals(new Balancer.ServerCounts(3, 2), proxy.logic.serverCounts(proxy.nowUs));
-            proxy.logic.enable(proxy.nowUs, "a");
-            assertEquals(new Balancer.ServerCounts(3, 1), proxy.logic.serverCounts(proxy.nowUs));
+            assertTrue(proxy.balancer.knows("c"), "a server that was listed once must stay known");
+            assertEquals(new Balancer.ServerCounts(3, 1), proxy.balancer.serverCounts(proxy.nowUs));
+            proxy.balancer.disable(proxy.nowUs, "a");
+            proxy.balancer.disable(proxy.nowUs, "c");
+            assertEquals(new Balancer.ServerCounts(3, 2), proxy.balancer.serverCounts(proxy.nowUs));
+            proxy.balancer.enable(proxy.nowUs, "a");
+            assertEquals(new Balancer.ServerCounts(3, 1), proxy.balancer.serverCounts(proxy.nowUs));
         }
 
         /** A new process of the proxy takes over disabled servers before it has received a server list. */
         @Test
         void aServerMayBeDisabledBeforeItIsListed() {
             FakeProxy proxy = new FakeProxy(setup()).withServers("b");
-            proxy.logic.disable(proxy.nowUs, "a");
-            assertTrue(proxy.logic.knows("a"));
+            proxy.balancer.disable(proxy.nowUs, "a");
+            assertTrue(proxy.balancer.knows("a"));
             proxy.changeServer("a", 0, ServerStatus.UP);
             proxy.advanceTime(20_000);
             assertEquals("b", proxy.serve());
@@ -1897,9 +1898,9 @@
                 proxy.changeServer("s" + i, 0, ServerStatus.UP);
                 proxy.changeServer("s" + i, 0, ServerStatus.GONE);
             }
-            assertTrue(proxy.logic.knows("a"));
-            assertTrue(proxy.logic.knows("s4999"));
-            assertFalse(proxy.logic.knows("s0"));
+            assertTrue(proxy.balancer.knows("a"));
+            assertTrue(proxy.balancer.knows("s4999"));
+            assertFalse(proxy.balancer.knows("s0"));
         }
     }
 
@@ -1910,7 +1911,7 @@
         /** Starts a request whose body is still arriving and returns its id. */
         private String startIncompleteRequest(FakeProxy proxy, int requestClass) {
             String id = "long" + proxy.actions.size();
-            proxy.logic.request(proxy.nowUs, new Request(id, requestClass, 0, 1_000 * MS, 0, false, true));
+            proxy.balancer.request(proxy.nowUs, new Request(id, requestClass, 0, 1_000 * MS, 0, false, true));
             return id;
         }
 
@@ -1924,7 +1925,7 @@
             String call = startIncompleteRequest(proxy, FakeProxy.SAFE);
             proxy.advanceTime(900);
             assertEquals(1, proxy.attemptCounts.get(call), "hedged although the request is still arriving");
-            proxy.logic.requestComplete(proxy.nowUs, call, 1_000 * MS);
+            proxy.balancer.requestComplete(proxy.nowUs, call, 1_000 * MS);
             proxy.advanceTime(900);
             assertEquals(2, proxy.attemptCounts.get(call),
                     "an overdue call was not hedged after its request was complete");
@@ -1938,7 +1939,7 @@
             proxy.endAttempt(buffered, Outcome.CONNECT_FAILED);
             assertEquals(2, proxy.attemptCounts.get(buffered));
             String discarded = startIncompleteRequest(proxy, FakeProxy.UNSAFE);
-            proxy.logic.bodyDiscarded(proxy.nowUs, discarded);
+            proxy.balancer.bodyDiscarded(proxy.nowUs, discarded);
             proxy.endAttempt(discarded, Outcome.CONNECT_FAILED);
             assertEquals(1, proxy.attemptCounts.get(discarded));
             assertTrue(proxy.hasAction("refuse " + discarded),
@@ -1952,8 +1953,8 @@
                 proxy.serve();
             }
             String call = startIncompleteRequest(proxy, FakeProxy.SAFE);
-            proxy.logic.bodyDiscarded(proxy.nowUs, call);
-            proxy.logic.requestComplete(proxy.nowUs, call, 1_000 * MS);
+            proxy.balancer.bodyDiscarded(proxy.nowUs, call);
+            proxy.balancer.requestComplete(proxy.nowUs, call, 1_000 * MS);
             proxy.advanceTime(900);
             assertEquals(1, proxy.attemptCounts.get(call));
         }
@@ -1967,17 +1968,16 @@
             String call = proxy.request(FakeProxy.SAFE);
             proxy.advanceTime(500);
             assertEquals(2, proxy.attemptCounts.get(call));
-            proxy.logic.streamStarted(proxy.nowUs, call, 0, proxy.serversByRequest.get(call).get(0),
+            proxy.balancer.streamStarted(proxy.nowUs, call, 0, proxy.serversByRequest.get(call).get(0),
                     500 * MS);
             assertFalse(proxy.hasAction("cancel " + call + " 0"));
             assertTrue(proxy.hasAction("cancel " + call + " 1"));
-            proxy.logic.outcome(proxy.nowUs, call, 1, proxy.serversByRequest.get(call).get(1),
+            proxy.balancer.outcome(proxy.nowUs, call, 1, proxy.serversByRequest.get(call).get(1),
                     Outcome.CANCELLED, 1, true,
                     null);
             proxy.advanceTime(5_000);
-            proxy.logic.outcome(proxy.nowUs, call, 0, proxy.serversByRequest.get(call).get(0), Outcome.RESET,
-                    500 * MS,
-                    true, null);
+            proxy.balancer.outcome(proxy.nowUs, call, 0, proxy.serversByRequest.get(call).get(0),
+                    Outcome.RESET, 500 * MS, true, null);
             assertEquals(2, proxy.attemptCounts.get(call));
             assertEquals(0, proxy.countActions("fail") + proxy.countActions("refuse")
                     + proxy.countActions("cancel " + call + " 0"));
--- a/src/test/java/passhatch/RulesTest.java
+++ b/src/test/java/passhatch/RulesTest.java
@@ -72,7 +72,7 @@
                 up[i] = true;
                 list.add(server(i, ServerStatus.UP));
             }
-            proxy.logic.serversChanged(proxy.nowUs, ListKind.CACHED, list);
+            proxy.balancer.serversChanged(proxy.nowUs, ListKind.CACHED, list);
         }
 
         private static Server server(int index, ServerStatus status) {
@@ -112,7 +112,7 @@
             up[index] = status == ServerStatus.UP;
             draining[index] = status == ServerStatus.DRAINING;
             int actionsBefore = proxy.actions.size();
-            proxy.logic.serversChanged(proxy.nowUs, ListKind.CHANGES, List.of(server(index, status)));
+            proxy.balancer.serversChanged(proxy.nowUs, ListKind.CHANGES, List.of(server(index, status)));
             assertEquals(draining[index],
                     proxy.actions.subList(actionsBefore, proxy.actions.size()).contains("close s" + index));
         }
@@ -128,7 +128,7 @@
                 possiblyRun.computeIfAbsent(attempt.request, r -> new ArrayList<>()).add(attempt);
             }
             int actionsBefore = proxy.actions.size();
-            proxy.logic.outcome(proxy.nowUs, attempt.request, attempt.number, attempt.server, outcome,
+            proxy.balancer.outcome(proxy.nowUs, attempt.request, attempt.number, attempt.server, outcome,
                     proxy.nowUs - attempt.sentAtUs, requestEnded, null);
             if (draining[Integer.parseInt(attempt.server.substring(1))]) {
                 assertTrue(proxy.actions.subList(actionsBefore, proxy.actions.size())
--- a/src/test/java/passhatch/proxy/ConsoleTest.java
+++ b/src/test/java/passhatch/proxy/ConsoleTest.java
@@ -234,21 +234,23 @@
      */
     @Test
     void disabledBackendGetsNoRequestsWhateverDiscoverySays() throws Exception {
-        ScriptedServer a = ScriptedServer.respondingWith("a");
-        ScriptedServer b = ScriptedServer.respondingWith("b");
-        rig.start(Rig.entry("a", a.address(), "SERVING"), Rig.entry("b", b.address(), "SERVING"));
+        ScriptedServer backendA = ScriptedServer.respondingWith("a");
+        ScriptedServer backendB = ScriptedServer.respondingWith("b");
+        rig.start(Rig.entry("a", backendA.address(), "SERVING"),
+                Rig.entry("b", backendB.address(), "SERVING"));
         assertEquals(200, consoleStatus("POST /control/backends/a/offline"));
         assertEquals(200, consoleStatus("POST /control/backends/a/offline"));
         assertEquals(1, counters().get("targets_disabled"));
         ScriptedServer moved = ScriptedServer.respondingWith("moved");
-        rig.discoveryLines.add(Rig.list(9, false, Rig.entry("a", a.address(), "DELETED")));
+        rig.discoveryLines.add(Rig.list(9, false, Rig.entry("a", backendA.address(), "DELETED")));
         rig.discoveryLines.add(Rig.list(10, true, Rig.entry("a", moved.address(), "SERVING"),
-                Rig.entry("b", b.address(), "SERVING"), Rig.entry("c", b.address(), "DRAINING")));
+                Rig.entry("b", backendB.address(), "SERVING"),
+                Rig.entry("c", backendB.address(), "DRAINING")));
         awaitMetric("targets", 3);
         for (int i = 0; i < 10; i++) {
             assertEquals("b", rig.call(Rig.get("r" + i, "")).text());
         }
-        assertEquals(0, a.receivedRequests.size() + moved.receivedRequests.size());
+        assertEquals(0, backendA.receivedRequests.size() + moved.receivedRequests.size());
         assertEquals(200, consoleStatus("POST /control/backends/a/online"));
         awaitServedBy("moved");
     }
--- a/src/test/java/passhatch/proxy/ReloadTest.java
+++ b/src/test/java/passhatch/proxy/ReloadTest.java
@@ -70,8 +70,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "trap '' HUP TERM; "})
     void sighupMovesTheWatchAndNeverEndsTheProcess(String shellPrefix) throws Exception {
-        ScriptedServer a = respondingWith("a");
-        rig.discoveryLines.add(Rig.list(8, true, servingEntry("s", a)));
+        ScriptedServer backendA = respondingWith("a");
+        rig.discoveryLines.add(Rig.list(8, true, servingEntry("s", backendA)));
         Map<String, String> env = rig.environment();
         try (ProxyProcess proxy = new ProxyProcess(env, shellPrefix)) {
             Files.writeString(Path.of(env.get("PROXY_CONFIG")), "{\"seed\":");
@@ -115,12 +115,12 @@
      */
     @Test
     void oldAddressIsWatchedUntilTheNewOneResponds() throws Exception {
-        ScriptedServer a = respondingWith("a");
-        rig.start(servingEntry("s", a));
+        ScriptedServer backendA = respondingWith("a");
+        rig.start(servingEntry("s", backendA));
         assertEquals("a", rig.call(Rig.get("r", "")).text());
         rig.proxy().reload(rig.environmentWithDiscovery(loopbackText(other.discovery().address())));
         other.discovery().nextRequest();
-        rig.discoveryLines.add(Rig.list(9, false, Rig.entry("s", a.address(), "DELETED"),
+        rig.discoveryLines.add(Rig.list(9, false, Rig.entry("s", backendA.address(), "DELETED"),
                 servingEntry("t", respondingWith("b"))));
         awaitServedBy(rig.proxy().address(), "b");
     }
--- a/src/test/java/passhatch/proxy/UpgradeTest.java
+++ b/src/test/java/passhatch/proxy/UpgradeTest.java
@@ -93,21 +93,22 @@
 
     @Test
     void restartLosesNoRequestAndKeepsBackendsDisabled() throws Exception {
-        ScriptedServer a = ScriptedServer.respondingWith("a");
+        ScriptedServer backendA = ScriptedServer.respondingWith("a");
         CountDownLatch release = new CountDownLatch(1);
-        ScriptedServer b = rig.backend((connection, request) -> {
+        ScriptedServer backendB = rig.backend((connection, request) -> {
             if (request.header("X-Request-Id").equals("held")) {
                 release.await();
             }
             connection.respond("200 OK", "b");
         });
-        String[] entries = {Rig.entry("a", a.address(), "SERVING"), Rig.entry("b", b.address(), "SERVING")};
+        String[] entries = {Rig.entry("a", backendA.address(), "SERVING"),
+                Rig.entry("b", backendB.address(), "SERVING")};
         InetSocketAddress listen = ProxyProcess.freeAddress();
         try (ReadyProxy first = new ReadyProxy(listen, entries)) {
             assertTrue(first.succeeds("POST /control/backends/a/offline"));
             HttpTestConnection pending = HttpTestConnection.connect(listen);
             pending.write(Rig.get("held", ""));
-            assertEquals("held", b.nextRequest().header("X-Request-Id"));
+            assertEquals("held", backendB.nextRequest().header("X-Request-Id"));
             AtomicBoolean stop = new AtomicBoolean();
             AtomicInteger served = new AtomicInteger();
             CompletableFuture<String> clientResult = CompletableFuture.supplyAsync(() -> {
@@ -137,11 +138,11 @@
                 }
                 stop.set(true);
                 assertEquals("200 b", clientResult.get(HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
-                assertEquals(0, a.receivedRequests.size(),
+                assertEquals(0, backendA.receivedRequests.size(),
                         "the disabled backend is disabled in the successor too");
                 assertTrue(second.succeeds("POST /control/backends/a/online"));
                 long deadlineNs = System.nanoTime() + HttpTestConnection.TIMEOUT_MS * 1_000_000L;
-                for (int i = 0; a.receivedRequests.isEmpty(); i++) {
+                for (int i = 0; backendA.receivedRequests.isEmpty(); i++) {
                     call(listen, "again" + i);
                     assertTrue(System.nanoTime() < deadlineNs,
                             "the backend got no request after it was enabled again");
@@ -152,8 +153,8 @@
 
     @Test
     void successorStaysOutOfServiceUntilReturned() throws Exception {
-        ScriptedServer a = ScriptedServer.respondingWith("a");
-        String entry = Rig.entry("a", a.address(), "SERVING");
+        ScriptedServer backendA = ScriptedServer.respondingWith("a");
+        String entry = Rig.entry("a", backendA.address(), "SERVING");
         InetSocketAddress listen = ProxyProcess.freeAddress();
         try (ReadyProxy first = new ReadyProxy(listen, entry)) {
             assertTrue(first.succeeds("POST /control/out-of-service"));
@@ -176,8 +177,8 @@
 
     @Test
     void firstProcessServesAfterItsSuccessorIsKilled() throws Exception {
-        ScriptedServer a = ScriptedServer.respondingWith("a");
-        String entry = Rig.entry("a", a.address(), "SERVING");
+        ScriptedServer backendA = ScriptedServer.respondingWith("a");
+        String entry = Rig.entry("a", backendA.address(), "SERVING");
         InetSocketAddress listen = ProxyProcess.freeAddress();
         try (ReadyProxy first = new ReadyProxy(listen, entry)) {
             try (ReadyProxy second = new ReadyProxy(listen, entry)) {
@@ -196,8 +197,8 @@
 
     @Test
     void successorServesAfterTheFirstProcessIsKilled() throws Exception {
-        ScriptedServer a = ScriptedServer.respondingWith("a");
-        String entry = Rig.entry("a", a.address(), "SERVING");
+        ScriptedServer backendA = ScriptedServer.respondingWith("a");
+        String entry = Rig.entry("a", backendA.address(), "SERVING");
         InetSocketAddress listen = ProxyProcess.freeAddress();
         try (ReadyProxy first = new ReadyProxy(listen, entry);
                 ReadyProxy second = new ReadyProxy(listen, entry)) {
@@ -213,10 +214,10 @@
 
     @Test
     void proxyStartsDespiteACorruptStateFile() throws Exception {
-        ScriptedServer a = ScriptedServer.respondingWith("a");
+        ScriptedServer backendA = ScriptedServer.respondingWith("a");
         Files.writeString(stateDirectory.resolve("passhatch-n0-state.json"), "{\"version\":");
         try (ReadyProxy first = new ReadyProxy(ProxyProcess.freeAddress(),
-                Rig.entry("a", a.address(), "SERVING"))) {
+                Rig.entry("a", backendA.address(), "SERVING"))) {
             assertEquals("200 a", call(first.proxy.address, "r"));
         }
     }
