--- a/lab/src/main/java/passhatch/lab/FleetSubsets.java
+++ b/lab/src/main/java/passhatch/lab/FleetSubsets.java
@@ -50,8 +50,8 @@
          * reverted, whichever is greater.
          */
         double newPairingsPerUser() {
-            double most = Math.max(newPairings, newPairingsAfter);
-            return most == 0 ? 0 : most / Math.max(1, users);
+            double maxNewPairings = Math.max(newPairings, newPairingsAfter);
+            return maxNewPairings == 0 ? 0 : maxNewPairings / Math.max(1, users);
         }
     }
 
--- a/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
+++ b/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
@@ -52,7 +52,7 @@
     private record SentCall(String request, String server) { }
 
     private final ArrayDeque<SentCall> sentCalls = new ArrayDeque<>();
-    private LeastLoadedBalancer logic;
+    private LeastLoadedBalancer balancer;
     private long nowUs;
     private long requestCount;
     private long eventCount;
@@ -66,10 +66,10 @@
         RequestClass shortClass =
                 new RequestClass("quick", 2 * SERVICE_TIME_US, 2 * SERVICE_TIME_US, 1, 0, Effect.SAFE,
                 DedupScope.ALL, 0);
-        logic = new LeastLoadedBalancer(new SettingsBuilder().requestClass(longClass).requestClass(
+        balancer = new LeastLoadedBalancer(new SettingsBuilder().requestClass(longClass).requestClass(
                 shortClass).build(), 1,
                 this);
-        logic.serversChanged(nowUs, ListKind.CACHED, IntStream.range(0, servers)
+        balancer.serversChanged(nowUs, ListKind.CACHED, IntStream.range(0, servers)
                 .mapToObj(i -> new Server("s" + i, 0, 0, 0, ServerStatus.UP)).toList());
         while (requestCount < servers) {
             addRequest();
@@ -79,7 +79,7 @@
             addRequest();
         }
         for (int i = 0; out && i < servers; i++) {
-            logic.disable(nowUs, "s" + i);
+            balancer.disable(nowUs, "s" + i);
         }
         for (int i = 0; i < queued; i++) {
             addRequest();
@@ -91,12 +91,13 @@
     }
 
     private void addRequest() {
-        logic.request(nowUs, new Request("r" + requestCount++, 0, 0, UNLIMITED_US, 0, false));
+        balancer.request(nowUs, new Request("r" + requestCount++, 0, 0, UNLIMITED_US, 0, false));
     }
 
     private void endOldestCall() {
         SentCall oldest = sentCalls.poll();
-        logic.outcome(nowUs, oldest.request(), 0, oldest.server(), Outcome.OK, SERVICE_TIME_US, true, null);
+        balancer.outcome(nowUs, oldest.request(), 0, oldest.server(), Outcome.OK, SERVICE_TIME_US, true,
+                null);
     }
 
     /**
@@ -107,7 +108,7 @@
     public void event() {
         nowUs += EVENT_INTERVAL_US;
         if (out) {
-            logic.probeResult(nowUs, "s" + eventCount++ % servers, Outcome.OK, 1_000,
+            balancer.probeResult(nowUs, "s" + eventCount++ % servers, Outcome.OK, 1_000,
                     new LoadReport(1, 0, 0));
         } else {
             endOldestCall();
--- a/lab/src/main/java/passhatch/lab/SimulatedFleet.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedFleet.java
@@ -85,7 +85,7 @@
 
     /** Returns the most requests that one server held at a time since the last call, divided by its cores. */
     double takePeakRequestsPerCore() {
-        return servers.stream().mapToInt(SimulatedServer::takePeakHeld).max().orElseThrow()
+        return servers.stream().mapToInt(SimulatedServer::takePeakRequests).max().orElseThrow()
                 / (double) SimulatedServer.CORES;
     }
 }
--- a/lab/src/main/java/passhatch/lab/SimulatedServer.java
+++ b/lab/src/main/java/passhatch/lab/SimulatedServer.java
@@ -50,7 +50,7 @@
     private final ArrayDeque<Job> queued = new ArrayDeque<>();
     private Server listEntry;
     private State state = State.WELL;
-    private int peakHeld;
+    private int peakRequests;
     private SlidingWindowCounter arrivals;
 
     SimulatedServer(SimulatedEventLoop loop, Server listEntry) {
@@ -109,13 +109,13 @@
     }
 
     /** Returns the most requests that the server held at a time since the last call. */
-    int takePeakHeld() {
-        int peak = peakHeld;
-        peakHeld = requestsHeld();
+    int takePeakRequests() {
+        int peak = peakRequests;
+        peakRequests = currentRequests();
         return peak;
     }
 
-    private int requestsHeld() {
+    private int currentRequests() {
         return running.size() + queued.size();
     }
 
@@ -142,7 +142,7 @@
             } else {
                 reportDelayed(job, Outcome.FULL);
             }
-            peakHeld = Math.max(peakHeld, requestsHeld());
+            peakRequests = Math.max(peakRequests, currentRequests());
         }
         return job;
     }
--- a/lab/src/main/java/passhatch/lab/SlowStartScenario.java
+++ b/lab/src/main/java/passhatch/lab/SlowStartScenario.java
@@ -56,9 +56,10 @@
      */
     private static double warmEquivalentSeconds(long ageUs) {
         double initialSpeed = SampleDeployment.RULES.coldFrom();
-        double coldElapsedS = Math.min(ageUs, SampleDeployment.RULES.coldUs()) / 1e6;
+        double warmUpElapsedS = Math.min(ageUs, SampleDeployment.RULES.coldUs()) / 1e6;
         double warmUpS = SampleDeployment.RULES.coldUs() / 1e6;
-        return initialSpeed * coldElapsedS + (1 - initialSpeed) * coldElapsedS * coldElapsedS / (2 * warmUpS)
+        return initialSpeed * warmUpElapsedS
+                + (1 - initialSpeed) * warmUpElapsedS * warmUpElapsedS / (2 * warmUpS)
                 + Math.max(0, ageUs / 1e6 - warmUpS);
     }
 }
