--- a/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
+++ b/lab/src/main/java/passhatch/lab/QueuedCallsBenchmark.java
@@ -63,12 +63,10 @@
         nowUs = UNLIMITED_US;
         RequestClass longClass = new RequestClass("patient", UNLIMITED_US, UNLIMITED_US, 1, 0, Effect.SAFE,
                 DedupScope.ALL, 0);
-        RequestClass shortClass =
-                new RequestClass("quick", 2 * SERVICE_TIME_US, 2 * SERVICE_TIME_US, 1, 0, Effect.SAFE,
-                DedupScope.ALL, 0);
-        balancer = new LeastLoadedBalancer(new SettingsBuilder().requestClass(longClass).requestClass(
-                shortClass).build(), 1,
-                this);
+        RequestClass shortClass = new RequestClass("quick", 2 * SERVICE_TIME_US, 2 * SERVICE_TIME_US, 1, 0,
+                Effect.SAFE, DedupScope.ALL, 0);
+        balancer = new LeastLoadedBalancer(
+                new SettingsBuilder().requestClass(longClass).requestClass(shortClass).build(), 1, this);
         balancer.serversChanged(nowUs, ListKind.CACHED, IntStream.range(0, servers)
                 .mapToObj(i -> new Server("s" + i, 0, 0, 0, ServerStatus.UP)).toList());
         while (requestCount < servers) {
--- a/lab/src/main/java/passhatch/lab/soak/LoadClient.java
+++ b/lab/src/main/java/passhatch/lab/soak/LoadClient.java
@@ -121,8 +121,7 @@
             response = new Response(RequestOutcome.NOT_TAKEN, 0);
         }
         observations.add(new Sent(id, proxy.number(), kind, firstOnConnection, sentNs, deadlineNs,
-                response.outcome, response.status,
-                System.nanoTime()));
+                response.outcome, response.status, System.nanoTime()));
         if (response.outcome != RequestOutcome.ANSWERED || response.closesConnection
                 || random.nextDouble() < CLOSE_RATIO) {
             close();
--- a/lab/src/main/java/passhatch/lab/soak/Oracle.java
+++ b/lab/src/main/java/passhatch/lab/soak/Oracle.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import passhatch.lab.soak.RunObservations.Arrival;
-import passhatch.lab.soak.RunObservations.RequestOutcome;
 import passhatch.lab.soak.RunObservations.Removal;
+import passhatch.lab.soak.RunObservations.RequestOutcome;
 import passhatch.lab.soak.RunObservations.Sent;
 
 /**
--- a/lab/src/main/java/passhatch/lab/soak/SoakRun.java
+++ b/lab/src/main/java/passhatch/lab/soak/SoakRun.java
@@ -25,9 +25,9 @@
 import passhatch.lab.discovery.Endpoint;
 import passhatch.lab.discovery.Endpoint.Status;
 import passhatch.lab.soak.FaultPlan.Fault;
-import passhatch.lab.soak.RunObservations.Removal;
 import passhatch.lab.soak.Oracle.Rule;
 import passhatch.lab.soak.Oracle.Violation;
+import passhatch.lab.soak.RunObservations.Removal;
 
 /** One run of the soak: starts all processes, injects a plan of faults under load, and checks the rules. */
 public final class SoakRun implements Closeable {
--- a/lab/src/test/java/passhatch/lab/control/ControlPathTest.java
+++ b/lab/src/test/java/passhatch/lab/control/ControlPathTest.java
@@ -8,7 +8,6 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import passhatch.lab.control.ControlPath.PhaseResult;
--- a/lab/src/test/java/passhatch/lab/soak/OracleTest.java
+++ b/lab/src/test/java/passhatch/lab/soak/OracleTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import passhatch.lab.soak.Oracle.Rule;
+import passhatch.lab.soak.Oracle.Violation;
 import passhatch.lab.soak.RunObservations.Arrival;
-import passhatch.lab.soak.RunObservations.RequestOutcome;
 import passhatch.lab.soak.RunObservations.Removal;
+import passhatch.lab.soak.RunObservations.RequestOutcome;
 import passhatch.lab.soak.RunObservations.Sent;
-import passhatch.lab.soak.Oracle.Rule;
-import passhatch.lab.soak.Oracle.Violation;
 
 /** For each rule of the oracle, observations that violate it and others that are just within its limits. */
 final class OracleTest {
--- a/src/main/java/passhatch/adapter/Main.java
+++ b/src/main/java/passhatch/adapter/Main.java
@@ -27,8 +27,7 @@
     /** Runs the command that the only argument names; exits the JVM with its status unless that is 0. */
     public static void main(String[] args) {
         int status = run(args, new FileInputStream(FileDescriptor.in),
-                new FileOutputStream(FileDescriptor.out),
-                System.err);
+                new FileOutputStream(FileDescriptor.out), System.err);
         if (status != 0) {
             System.exit(status);
         }
--- a/src/main/java/passhatch/proxy/ProxyConfig.java
+++ b/src/main/java/passhatch/proxy/ProxyConfig.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import passhatch.Balancer.Settings;
-import passhatch.adapter.SettingsReader;
 import passhatch.adapter.InvalidInputException;
+import passhatch.adapter.SettingsReader;
 
 /**
  * The validated configuration of this proxy, from the environment and the file that it names.
--- a/src/main/java/passhatch/proxy/ProxyLoop.java
+++ b/src/main/java/passhatch/proxy/ProxyLoop.java
@@ -31,9 +31,9 @@
 import passhatch.Balancer.Request;
 import passhatch.Balancer.RequestClass;
 import passhatch.Balancer.ServerStatus;
-import passhatch.proxy.BackendPool.ResponseSink;
 import passhatch.proxy.BackendPool.Handle;
 import passhatch.proxy.BackendPool.OutgoingRequest;
+import passhatch.proxy.BackendPool.ResponseSink;
 import passhatch.proxy.BackendPool.Result;
 import passhatch.proxy.BackendPool.Target;
 import passhatch.proxy.EventLog.Kind;
@@ -521,15 +521,17 @@
         // that the request is open, that its time is not up, and that its backend has not been drained,
         // removed or disabled in the meantime.
         attempt.handle = sendTo(backend,
-                new OutgoingRequest(() -> buildCheckedMessage(exchange, attempt, backend, attemptDeadlineUs),
-                exchange.request.body(),
-                () -> guard.mayWrite(new WriteConditions(exchange.responded
-                || exchange.streamedAttempt != null,
-                        exchange.responder.isClientPresent(), backend.available,
-                        exchange.request.body().canBeSent(),
-                        balancer.maySend(clock.nowUs(), id, attempt.number))),
-                metrics::attemptSent, exchange.incomplete ? BackendPool.NO_TIMEOUT : attemptTimeoutUs,
-                Outcome.TIMEOUT),
+                new OutgoingRequest(
+                        () -> buildCheckedMessage(exchange, attempt, backend, attemptDeadlineUs),
+                        exchange.request.body(),
+                        () -> guard.mayWrite(new WriteConditions(
+                                exchange.responded || exchange.streamedAttempt != null,
+                                exchange.responder.isClientPresent(), backend.available,
+                                exchange.request.body().canBeSent(),
+                                balancer.maySend(clock.nowUs(), id, attempt.number))),
+                        metrics::attemptSent,
+                        exchange.incomplete ? BackendPool.NO_TIMEOUT : attemptTimeoutUs,
+                        Outcome.TIMEOUT),
                 new BackendPool.Listener() {
                     @Override
                     public ResponseSink openSink(long contentLength, Runnable resumeReading) {
--- a/src/test/java/passhatch/FakeProxy.java
+++ b/src/test/java/passhatch/FakeProxy.java
@@ -143,8 +143,7 @@
      */
     void endAttempt(String request, int attempt, Outcome outcome) {
         balancer.outcome(nowUs, request, attempt, serversByRequest.get(request).get(attempt), outcome,
-                50 * MS,
-                outcome == Outcome.OK, null);
+                50 * MS, outcome == Outcome.OK, null);
     }
 
     /** Makes a safe request, has probed servers report that they are idle, and returns the serving one. */
--- a/src/test/java/passhatch/LeastLoadedBalancerTest.java
+++ b/src/test/java/passhatch/LeastLoadedBalancerTest.java
@@ -1498,8 +1498,7 @@
                 proxy.advanceTime(900);
                 if (proxy.latestServer(request) != null) {
                     proxy.balancer.outcome(proxy.nowUs, request, 0, proxy.latestServer(request), Outcome.OK,
-                            900 * MS, true,
-                            null);
+                            900 * MS, true, null);
                 }
             }
             int sentBefore = proxy.countActions("send");
@@ -1973,8 +1972,7 @@
             assertFalse(proxy.hasAction("cancel " + call + " 0"));
             assertTrue(proxy.hasAction("cancel " + call + " 1"));
             proxy.balancer.outcome(proxy.nowUs, call, 1, proxy.serversByRequest.get(call).get(1),
-                    Outcome.CANCELLED, 1, true,
-                    null);
+                    Outcome.CANCELLED, 1, true, null);
             proxy.advanceTime(5_000);
             proxy.balancer.outcome(proxy.nowUs, call, 0, proxy.serversByRequest.get(call).get(0),
                     Outcome.RESET, 500 * MS, true, null);
--- a/src/test/java/passhatch/adapter/SimulatorAdapterTest.java
+++ b/src/test/java/passhatch/adapter/SimulatorAdapterTest.java
@@ -63,7 +63,7 @@
         assertEquals("{\"groups\":[]}", result.outputLines().get(0));
         assertTrue(result.outputLines().get(1).startsWith(
                 "{\"groups\":[{\"who\":4,\"cmds\":[{\"msg\":\"keepInformed\",\"enable\":true}"),
-                        result.outputLines().get(1));
+                result.outputLines().get(1));
         assertEquals("{\"groups\":[{\"who\":4,\"cmds\":[{\"msg\":\"relay\",\"opId\":\"00ab\","
                 + "\"backend\":\"s:1\","
                 + "\"limitUs\":400000}]}]}", result.outputLines().get(2));
--- a/src/test/java/passhatch/proxy/LateConnectionsTest.java
+++ b/src/test/java/passhatch/proxy/LateConnectionsTest.java
@@ -66,22 +66,23 @@
      * @param blockingSend number of that send, from 1
      */
     private void startBlockingLoop(int blockingSend) throws Exception {
-        rig.module((settings, seed, actions) ->
-                new LeastLoadedBalancer(settings, seed, (Actions) Proxy.newProxyInstance(
-                Actions.class.getClassLoader(), new Class<?>[] {Actions.class}, (proxy, method, args) -> {
-                    try {
-                        Object result = method.invoke(actions, args);
-                        if (method.getName().equals("send") && sends.incrementAndGet() == blockingSend) {
-                            connecting.countDown();
-                            rig.proxy().submitToLoop(
-                                    () -> resumeLoop.await(HttpTestConnection.TIMEOUT_MS,
-                                    TimeUnit.MILLISECONDS));
-                        }
-                        return result;
-                    } catch (InvocationTargetException wrapped) {
-                        throw wrapped.getCause();
-                    }
-                }))).start(Rig.entry("s", first.address(), "SERVING"),
+        rig.module((settings, seed, actions) -> new LeastLoadedBalancer(settings, seed,
+                (Actions) Proxy.newProxyInstance(Actions.class.getClassLoader(),
+                        new Class<?>[] {Actions.class}, (proxy, method, args) -> {
+                            try {
+                                Object result = method.invoke(actions, args);
+                                if (method.getName().equals("send")
+                                        && sends.incrementAndGet() == blockingSend) {
+                                    connecting.countDown();
+                                    rig.proxy().submitToLoop(() -> resumeLoop.await(
+                                            HttpTestConnection.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+                                }
+                                return result;
+                            } catch (InvocationTargetException wrapped) {
+                                throw wrapped.getCause();
+                            }
+                        })))
+                .start(Rig.entry("s", first.address(), "SERVING"),
                         Rig.entry("t", second.address(), "SERVING"));
     }
 
--- a/src/test/java/passhatch/proxy/SendGuardTest.java
+++ b/src/test/java/passhatch/proxy/SendGuardTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import passhatch.Balancer.Effect;
 import passhatch.proxy.SendGuard.Attempt;
-import passhatch.proxy.SendGuard.WriteConditions;
 import passhatch.proxy.SendGuard.Violation;
+import passhatch.proxy.SendGuard.WriteConditions;
 
 /** Each reason to hold an attempt back and each violation must be counted, and violations logged. */
 final class SendGuardTest {
